--- a/ebonyrack/callers/commit.py
+++ b/ebonyrack/callers/commit.py
@@ -38,7 +38,7 @@
 
     Attributes:
         relay: The request's own answer, still held.
-        position: Position of the connection's last commit; START if there is none.
+        position: Position of the connection's last commit; LOG_START if there is none.
     """
 
     relay: Relay
--- a/ebonyrack/callers/listener.py
+++ b/ebonyrack/callers/listener.py
@@ -25,9 +25,9 @@
 from ebonyrack.callers.stream import CallerStream
 from ebonyrack.callers.watchdog import watch_sessions
 from ebonyrack.core.address import Address
+from ebonyrack.core.component import Component
 from ebonyrack.core.errors import ErrorKind
 from ebonyrack.core.errors import RequestError
-from ebonyrack.core.owner import Owner
 from ebonyrack.core.tasks import end_tasks
 
 if TYPE_CHECKING:
@@ -45,7 +45,7 @@
 MAXIMUM_CANCELS = 64
 
 
-class CallerListener(Owner):
+class CallerListener(Component):
     """Accepts callers; an asynchronous context manager that owns their tasks.
 
     Attributes:
--- a/ebonyrack/callers/position_question.py
+++ b/ebonyrack/callers/position_question.py
@@ -5,7 +5,7 @@
 from typing import TYPE_CHECKING
 
 from ebonyrack.callers.answers import build_query
-from ebonyrack.core.position import START
+from ebonyrack.core.position import LOG_START
 from ebonyrack.core.position import parse_position
 from ebonyrack.upstreams.connection import UpstreamLostError
 from ebonyrack.upstreams.contract import CONTRACTS
@@ -35,7 +35,7 @@
         question: The question, asked again if a late cancel request hit it.
 
     Returns:
-        The position; START if the connection never committed anything.
+        The position; LOG_START if the connection never committed anything.
 
     Raises:
         UpstreamLostError: If there is no answer.
@@ -50,7 +50,7 @@
         raise UpstreamLostError("the position of the commit can't be read")
     text = answer.rows[0][0]
     try:
-        return parse_position(text) if text else START
+        return parse_position(text) if text else LOG_START
     except ValueError as error:
         raise UpstreamLostError(str(error)) from error
 
@@ -64,7 +64,7 @@
     Returns:
         The frame, to be sent behind a read.
     """
-    return build_query(get_contract(session).build_poll(START, 0))
+    return build_query(get_contract(session).build_poll(LOG_START, 0))
 
 
 async def read_position(session: CallerSession) -> LogPosition:
--- a/ebonyrack/callers/stream.py
+++ b/ebonyrack/callers/stream.py
@@ -87,7 +87,7 @@
     async def drain(self) -> None:
         """Wait until the caller has taken most of what was queued."""
         while self.is_writing_paused and not self.is_lost:
-            await self.wait_for_room()
+            await self.wait_until_writable()
 
     def finish(self) -> None:
         """Send what is queued and the end of the stream; drop all that comes."""
--- a/ebonyrack/callers/upstream_use.py
+++ b/ebonyrack/callers/upstream_use.py
@@ -13,7 +13,7 @@
 from ebonyrack.core.clock import now_s
 from ebonyrack.core.errors import ErrorKind
 from ebonyrack.core.errors import RequestError
-from ebonyrack.core.position import START
+from ebonyrack.core.position import LOG_START
 from ebonyrack.routing.read_placement import ReadRequirement
 from ebonyrack.routing.write_path import acknowledge_write
 from ebonyrack.routing.write_path import check_write_admitted
@@ -174,12 +174,12 @@
     Args:
         session: The session.
         connection: The connection that committed.
-        position: Position of the commit; START if there was none.
+        position: Position of the commit; LOG_START if there was none.
 
     Raises:
         RequestError: OUTCOME_UNKNOWN.
     """
-    if position == START:
+    if position == LOG_START:
         return
     group = session.group
     deadline_s = now_s() + group.section.confirm_wait_s
--- a/ebonyrack/callers/variables.py
+++ b/ebonyrack/callers/variables.py
@@ -10,7 +10,7 @@
 from ebonyrack.core.clock import now_s
 from ebonyrack.core.errors import ErrorKind
 from ebonyrack.core.errors import RequestError
-from ebonyrack.core.position import START
+from ebonyrack.core.position import LOG_START
 
 if TYPE_CHECKING:
     from ebonyrack.core.position import LogPosition
@@ -81,7 +81,7 @@
         self.group = group
         self.token_key = token_key
         self.token_minimum: LogPosition | None = None
-        self.own_writes: LogPosition = START
+        self.own_writes: LogPosition = LOG_START
         self.wrote_at_s: float | None = None
         self.other_positions: dict[str, LogPosition] | None = None
         self.maximum_age_s: float | None = None
@@ -194,8 +194,8 @@
     def build_token(self) -> str:
         """Build the token of the session, empty if it has no position to keep."""
         positions = dict(self.other_positions or {})
-        own = max(self.own_writes, self.token_minimum or START)
-        if own > START:
+        own = max(self.own_writes, self.token_minimum or LOG_START)
+        if own > LOG_START:
             positions[self.group] = own
         return build_token(self.token_key, positions) if positions else ""
 
--- a/ebonyrack/config/document.py
+++ b/ebonyrack/config/document.py
@@ -14,7 +14,7 @@
 from ebonyrack.config.sections import OperatorSection
 from ebonyrack.config.text import PREAMBLE
 from ebonyrack.config.text import split_sections
-from ebonyrack.core.fault import Fault
+from ebonyrack.core.config_error import ConfigError
 from ebonyrack.core.ini import Section
 from ebonyrack.core.ini import check_section
 from ebonyrack.core.ini import parse_ini
@@ -58,7 +58,7 @@
     revision: int,
     source: str = "document",
     previous: Document = EMPTY_DOCUMENT,
-) -> tuple[Document | None, tuple[Fault, ...]]:
+) -> tuple[Document | None, tuple[ConfigError, ...]]:
     """Read and check a document as a whole.
 
     Args:
@@ -78,12 +78,12 @@
 
 def parse_whole(
     text: str, revision: int, source: str
-) -> tuple[Document | None, tuple[Fault, ...]]:
+) -> tuple[Document | None, tuple[ConfigError, ...]]:
     """Read all sections; list the faults of the whole document."""
     sections, faults = parse_ini(text, source)
     if faults:
         return None, faults
-    found: list[Fault] = []
+    found: list[ConfigError] = []
     records: Records = {kind: {} for kind in SECTION_KINDS}
     for title, values in sections.items():
         record, section_faults = read_section(title, values, source)
@@ -100,7 +100,7 @@
 
 def read_section(
     title: str, values: dict[str, str], source: str
-) -> tuple[Any, tuple[Fault, ...]]:
+) -> tuple[Any, tuple[ConfigError, ...]]:
     """Read one section by the kind that its title names.
 
     Args:
@@ -114,7 +114,7 @@
     kind, _, name = title.partition(" ")
     if kind not in SECTION_KINDS or not name:
         allowed = ", ".join(f"[{known} NAME]" for known in SECTION_KINDS)
-        return None, (Fault(source, title, "", f"unknown; allowed: {allowed}"),)
+        return None, (ConfigError(source, title, "", f"unknown; allowed: {allowed}"),)
     return check_section(SECTION_KINDS[kind], values, source, title)
 
 
@@ -184,7 +184,7 @@
 
 def check_headers(
     text: str, sections: dict[str, dict[str, str]], source: str
-) -> tuple[Fault, ...]:
+) -> tuple[ConfigError, ...]:
     """Check that sections begin where an edit takes them to begin.
 
     Who may change what is decided by the text of a section, so there must be no
@@ -200,6 +200,6 @@
     """
     titles = {title for title in split_sections(text) if title}
     return tuple(
-        Fault(source, title, "", "a header must be [KIND NAME] alone in its line")
+        ConfigError(source, title, "", "a header must be [KIND NAME] alone in its line")
         for title in sorted(titles ^ set(sections))
     )
--- a/ebonyrack/config/references.py
+++ b/ebonyrack/config/references.py
@@ -8,12 +8,12 @@
 
 from ebonyrack.config.sections import ApplicationSection
 from ebonyrack.config.sections import GroupSection
-from ebonyrack.core.fault import Fault
+from ebonyrack.core.config_error import ConfigError
 
 Records = dict[str, dict[str, Any]]
 
 
-def check_references(records: Records, source: str) -> tuple[Fault, ...]:
+def check_references(records: Records, source: str) -> tuple[ConfigError, ...]:
     """Check what sections say of each other.
 
     Args:
@@ -23,18 +23,19 @@
     Returns:
         Every fault found.
     """
-    found: list[Fault] = []
+    found: list[ConfigError] = []
     for name, group in records["group"].items():
         if group is not None:
             texts = check_group(group)
             found.extend(
-                Fault(source, f"group {name}", key, text) for key, text in texts
+                ConfigError(source, f"group {name}", key, text) for key, text in texts
             )
     for name, application in records["application"].items():
         if application is not None:
             texts = check_application(application, records)
             found.extend(
-                Fault(source, f"application {name}", key, text) for key, text in texts
+                ConfigError(source, f"application {name}", key, text)
+                for key, text in texts
             )
     found.extend(check_data_centres(records, source))
     found.extend(check_unique_users(records, source))
@@ -83,7 +84,7 @@
             yield "groups", f"there is no group {name!r}; known: {known}"
 
 
-def check_data_centres(records: Records, source: str) -> Iterator[Fault]:
+def check_data_centres(records: Records, source: str) -> Iterator[ConfigError]:
     """Check that upstreams are in data centres of the networks, if there are any."""
     known = {
         data_centre
@@ -100,10 +101,10 @@
                     f"no network has the data centre {upstream.data_centre!r};"
                     f" allowed: {', '.join(sorted(known))}"
                 )
-                yield Fault(source, f"group {name}", "upstreams", text)
+                yield ConfigError(source, f"group {name}", "upstreams", text)
 
 
-def check_unique_users(records: Records, source: str) -> Iterator[Fault]:
+def check_unique_users(records: Records, source: str) -> Iterator[ConfigError]:
     """Check that no two applications have the same user."""
     owners: dict[str, str] = {}
     for name, application in records["application"].items():
@@ -112,10 +113,10 @@
         first = owners.setdefault(application.user, name)
         if first != name:
             text = f"{application.user!r} is the user of [application {first}] already"
-            yield Fault(source, f"application {name}", "user", text)
+            yield ConfigError(source, f"application {name}", "user", text)
 
 
-def check_unique_addresses(records: Records, source: str) -> Iterator[Fault]:
+def check_unique_addresses(records: Records, source: str) -> Iterator[ConfigError]:
     """Check that no two upstreams listen at the same address."""
     places: dict[Any, str] = {}
     for name, group in records["group"].items():
@@ -124,4 +125,4 @@
             first = places.setdefault(upstream.address, place)
             if first != place:
                 text = f"{upstream.address} of {place} is {first} already"
-                yield Fault(source, f"group {name}", "upstreams", text)
+                yield ConfigError(source, f"group {name}", "upstreams", text)
--- a/ebonyrack/config/verification.py
+++ b/ebonyrack/config/verification.py
@@ -10,7 +10,7 @@
 from ebonyrack.config.spread import FETCH_TIMEOUT_S
 from ebonyrack.config.spread import DocumentSpread
 from ebonyrack.config.stored import DOCUMENT_KEY
-from ebonyrack.core.owner import Owner
+from ebonyrack.core.component import Component
 from ebonyrack.core.settings import PeerSettings
 from ebonyrack.core.tasks import end_tasks
 from ebonyrack.peers.document_messages import AskDocument
@@ -22,7 +22,7 @@
 ASKED_PEERS = 3
 
 
-class PauseVerification(Owner):
+class PauseVerification(Component):
     """Asks a peer or the store after a long pause: an async context manager.
 
     What was buffered before the pause proves nothing, so only the answer to a
--- a/ebonyrack/config/watch.py
+++ b/ebonyrack/config/watch.py
@@ -19,7 +19,7 @@
 from ebonyrack.config.stored import DOCUMENT_KEY
 from ebonyrack.config.verification import PauseVerification
 from ebonyrack.core.clock import now_s
-from ebonyrack.core.owner import Owner
+from ebonyrack.core.component import Component
 from ebonyrack.core.settings import Settings
 from ebonyrack.core.tasks import end_tasks
 from ebonyrack.peers.hub import PeerHub
@@ -38,7 +38,7 @@
 Step = Callable[[], Awaitable[Result[bool, StoreError]]]
 
 
-class ConfigurationWatch(Owner):
+class ConfigurationWatch(Component):
     """Keeps the document and the VM list up to date: an async context manager.
 
     Few proxies of each data centre watch the store, chosen by rendezvous hashing
--- a/ebonyrack/core/byte_stream.py
+++ b/ebonyrack/core/byte_stream.py
@@ -54,11 +54,11 @@
         wake(self.data_waiter)
 
     def pause_writing(self) -> None:
-        """Make `wait_for_room` wait (called by asyncio)."""
+        """Make `wait_until_writable` wait (called by asyncio)."""
         self.is_writing_paused = True
 
     def resume_writing(self) -> None:
-        """Let `wait_for_room` go on (called by asyncio)."""
+        """Let `wait_until_writable` go on (called by asyncio)."""
         self.is_writing_paused = False
         wake(self.drain_waiter)
 
@@ -67,7 +67,7 @@
         wake(self.data_waiter)
         wake(self.drain_waiter)
 
-    async def wait_for_room(self) -> None:
+    async def wait_until_writable(self) -> None:
         """Wait until the queue of bytes to send is shorter or `wake_waiters`."""
         self.drain_waiter = asyncio.get_running_loop().create_future()
         await self.drain_waiter
--- a/ebonyrack/core/owner.py
+++ b/ebonyrack/core/component.py
@@ -5,7 +5,7 @@
 from typing import Self
 
 
-class Owner:
+class Component:
     """Base of an async context manager with a start and a stop of its own."""
 
     __slots__ = ()
--- a/ebonyrack/core/owner_test.py
+++ b/ebonyrack/core/component_test.py
@@ -1,9 +1,9 @@
 import pytest
 
-from ebonyrack.core.owner import Owner
+from ebonyrack.core.component import Component
 
 
-class Recorder(Owner):
+class Recorder(Component):
     __slots__ = ("steps",)
 
     def __init__(self):
@@ -28,5 +28,5 @@
 
 async def test_an_owner_must_say_how_it_stops():
     with pytest.raises(NotImplementedError):
-        async with Owner():
+        async with Component():
             pass
--- a/ebonyrack/core/fault.py
+++ b/ebonyrack/core/config_error.py
@@ -6,7 +6,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Fault:
+class ConfigError:
     """One fault of an INI document.
 
     Attributes:
--- a/ebonyrack/core/losable_stream.py
+++ b/ebonyrack/core/connection_stream.py
@@ -5,7 +5,7 @@
 from ebonyrack.core.byte_stream import ByteStream
 
 
-class LosableStream(ByteStream):
+class ConnectionStream(ByteStream):
     """Base of streams whose readers and writers are told of the end of the connection.
 
     Attributes:
@@ -15,13 +15,13 @@
     __slots__ = ("lost_reason",)
 
     # What is told if the other side ends the stream.
-    end_reason = "the other side closed the connection"
+    eof_reason = "the other side closed the connection"
 
     def __init__(self, limit_bytes: int) -> None:
         super().__init__(limit_bytes)
         self.lost_reason: str | None = None
 
-    def build_lost(self, reason: str) -> Exception:
+    def build_lost_error(self, reason: str) -> Exception:
         """Build the error that readers and writers get after the end.
 
         Args:
@@ -31,7 +31,7 @@
 
     def eof_received(self) -> bool:
         """Treat the end of the stream as a lost connection (called by asyncio)."""
-        self.mark_lost(self.end_reason)
+        self.mark_lost(self.eof_reason)
         return False
 
     def connection_lost(self, error: Exception | None) -> None:
@@ -65,19 +65,19 @@
             data: Bytes to send.
 
         Raises:
-            Exception: The error of `build_lost`, if the connection has ended.
+            Exception: The error of `build_lost_error`, if the connection has ended.
         """
         if self.lost_reason is not None or self.transport is None:
-            raise self.build_lost(self.lost_reason or "not connected")
+            raise self.build_lost_error(self.lost_reason or "not connected")
         self.transport.write(data)
 
     async def drain(self) -> None:
         """Wait until the queue of bytes to send is short.
 
         Raises:
-            Exception: The error of `build_lost`, if the connection has ended.
+            Exception: The error of `build_lost_error`, if the connection has ended.
         """
         while self.is_writing_paused and self.lost_reason is None:
-            await self.wait_for_room()
+            await self.wait_until_writable()
         if self.lost_reason is not None:
-            raise self.build_lost(self.lost_reason)
+            raise self.build_lost_error(self.lost_reason)
--- a/ebonyrack/core/errors.py
+++ b/ebonyrack/core/errors.py
@@ -44,7 +44,7 @@
     INTERNAL = "internal"
 
 
-class Ran(StrEnum):
+class Executed(StrEnum):
     """Whether the request took effect in the database group."""
 
     NO = "no"
@@ -65,7 +65,7 @@
     """
 
     sqlstate: str
-    ran: Ran
+    ran: Executed
     retry: bool
     text: str
     fatal: bool = False
@@ -73,95 +73,111 @@
 
 ERROR_ANSWERS: dict[ErrorKind, ErrorAnswer] = {
     ErrorKind.BAD_REQUEST: ErrorAnswer(
-        "08P01", Ran.NO, False, "the message is not valid", fatal=True
+        "08P01", Executed.NO, False, "the message is not valid", fatal=True
     ),
     ErrorKind.BAD_TOKEN: ErrorAnswer(
-        "22023", Ran.NO, False, "the session token is not valid"
+        "22023", Executed.NO, False, "the session token is not valid"
     ),
     ErrorKind.UNSUPPORTED: ErrorAnswer(
-        "0A000", Ran.NO, False, "the request is not supported over pooled connections"
+        "0A000",
+        Executed.NO,
+        False,
+        "the request is not supported over pooled connections",
     ),
     ErrorKind.AUTHENTICATION_FAILED: ErrorAnswer(
-        "28P01", Ran.NO, False, "authentication failed", fatal=True
+        "28P01", Executed.NO, False, "authentication failed", fatal=True
     ),
     ErrorKind.NOT_ALLOWED: ErrorAnswer(
-        "42501", Ran.NO, False, "the user may not use this database group", fatal=True
+        "42501",
+        Executed.NO,
+        False,
+        "the user may not use this database group",
+        fatal=True,
     ),
     ErrorKind.UNKNOWN_GROUP: ErrorAnswer(
-        "3D000", Ran.NO, False, "the database group is not configured", fatal=True
+        "3D000", Executed.NO, False, "the database group is not configured", fatal=True
     ),
     ErrorKind.TOO_MANY_CALLERS: ErrorAnswer(
-        "53300", Ran.NO, True, "the proxy serves no more connections", fatal=True
+        "53300", Executed.NO, True, "the proxy serves no more connections", fatal=True
     ),
     ErrorKind.QUEUE_FULL: ErrorAnswer(
-        "53400", Ran.NO, True, "the queue of the database group is full"
+        "53400", Executed.NO, True, "the queue of the database group is full"
     ),
     ErrorKind.WAIT_TOO_LONG: ErrorAnswer(
-        "53400", Ran.NO, True, "no connection came free within the time allowed"
+        "53400", Executed.NO, True, "no connection came free within the time allowed"
     ),
     ErrorKind.NO_PRIMARY: ErrorAnswer(
-        "57P03", Ran.NO, True, "the database group has no primary now"
+        "57P03", Executed.NO, True, "the database group has no primary now"
     ),
     ErrorKind.NO_UPSTREAM: ErrorAnswer(
-        "57P03", Ran.NO, True, "no upstream of the database group can serve"
+        "57P03", Executed.NO, True, "no upstream of the database group can serve"
     ),
     ErrorKind.REPLICAS_LAG: ErrorAnswer(
-        "57P03", Ran.NO, True, "replicas are too far behind to confirm a write"
+        "57P03", Executed.NO, True, "replicas are too far behind to confirm a write"
     ),
     ErrorKind.POSITION_NOT_REACHED: ErrorAnswer(
-        "57P03", Ran.NO, True, "no upstream has reached the session's position"
+        "57P03", Executed.NO, True, "no upstream has reached the session's position"
     ),
     ErrorKind.UPSTREAM_LOST: ErrorAnswer(
-        "08006", Ran.NO, True, "the upstream was lost; nothing was committed"
+        "08006", Executed.NO, True, "the upstream was lost; nothing was committed"
     ),
     ErrorKind.ANSWER_CUT: ErrorAnswer(
-        "08006", Ran.NO, True, "the answer of a read broke off; it is not whole"
+        "08006", Executed.NO, True, "the answer of a read broke off; it is not whole"
     ),
     ErrorKind.OUTCOME_UNKNOWN: ErrorAnswer(
-        "08007", Ran.UNKNOWN, False, "the outcome of the transaction is not known"
+        "08007", Executed.UNKNOWN, False, "the outcome of the transaction is not known"
     ),
     ErrorKind.ALREADY_RAN: ErrorAnswer(
-        "23505", Ran.YES, False, "a request with this idempotency key already ran"
+        "23505", Executed.YES, False, "a request with this idempotency key already ran"
     ),
     ErrorKind.IDLE_IN_TRANSACTION: ErrorAnswer(
-        "25P03", Ran.NO, True, "the transaction was idle too long; rolled back"
+        "25P03", Executed.NO, True, "the transaction was idle too long; rolled back"
     ),
     ErrorKind.TRANSACTION_FAILED: ErrorAnswer(
         "25P02",
-        Ran.NO,
+        Executed.NO,
         False,
         "current transaction is aborted, commands ignored until end of transaction"
         " block",
     ),
     ErrorKind.READ_ONLY_TRANSACTION: ErrorAnswer(
-        "25006", Ran.NO, False, "a read-only transaction can't write"
+        "25006", Executed.NO, False, "a read-only transaction can't write"
     ),
     ErrorKind.UNKNOWN_STATEMENT: ErrorAnswer(
-        "26000", Ran.NO, False, "the prepared statement is not known in this session"
+        "26000",
+        Executed.NO,
+        False,
+        "the prepared statement is not known in this session",
     ),
     ErrorKind.STATEMENT_FAILED: ErrorAnswer(
-        "XX000", Ran.UNKNOWN, False, "the upstream failed while it ran the statement"
+        "XX000",
+        Executed.UNKNOWN,
+        False,
+        "the upstream failed while it ran the statement",
     ),
     ErrorKind.STATEMENT_TIMED_OUT: ErrorAnswer(
-        "57014", Ran.UNKNOWN, False, "the statement took longer than its route allows"
+        "57014",
+        Executed.UNKNOWN,
+        False,
+        "the statement took longer than its route allows",
     ),
     ErrorKind.REQUEST_TOO_LARGE: ErrorAnswer(
-        "54000", Ran.NO, False, "the message passes the limit", fatal=True
+        "54000", Executed.NO, False, "the message passes the limit", fatal=True
     ),
     ErrorKind.CANCELLED: ErrorAnswer(
-        "57014", Ran.NO, True, "the request was cancelled"
+        "57014", Executed.NO, True, "the request was cancelled"
     ),
     ErrorKind.SHUTTING_DOWN: ErrorAnswer(
-        "57P01", Ran.NO, True, "the proxy is shutting down", fatal=True
+        "57P01", Executed.NO, True, "the proxy is shutting down", fatal=True
     ),
     ErrorKind.CUT_OFF: ErrorAnswer(
         "57P03",
-        Ran.NO,
+        Executed.NO,
         True,
         "the proxy is cut off from the platform's store and its peers",
     ),
     ErrorKind.INTERNAL: ErrorAnswer(
-        "XX000", Ran.UNKNOWN, False, "internal error of the proxy", fatal=True
+        "XX000", Executed.UNKNOWN, False, "internal error of the proxy", fatal=True
     ),
 }
 
--- a/ebonyrack/core/errors_test.py
+++ b/ebonyrack/core/errors_test.py
@@ -1,6 +1,6 @@
 from ebonyrack.core.errors import ERROR_ANSWERS
 from ebonyrack.core.errors import ErrorKind
-from ebonyrack.core.errors import Ran
+from ebonyrack.core.errors import Executed
 from ebonyrack.core.errors import RequestError
 from ebonyrack.core.errors import build_error_fields
 
@@ -15,7 +15,7 @@
 
 def test_only_a_request_that_did_not_run_is_marked_for_retry():
     retried = [answer for answer in ERROR_ANSWERS.values() if answer.retry]
-    assert all(answer.ran is Ran.NO for answer in retried)
+    assert all(answer.ran is Executed.NO for answer in retried)
 
 
 def test_fields_say_whether_it_ran_and_when_to_come_back():
--- a/ebonyrack/core/ini.py
+++ b/ebonyrack/core/ini.py
@@ -13,7 +13,7 @@
 
 from ebonyrack.core.address import Address
 from ebonyrack.core.address import parse_address
-from ebonyrack.core.fault import Fault
+from ebonyrack.core.config_error import ConfigError
 
 
 class Section(BaseModel):
@@ -57,7 +57,7 @@
 
 def parse_ini(
     text: str, source: str
-) -> tuple[dict[str, dict[str, str]], tuple[Fault, ...]]:
+) -> tuple[dict[str, dict[str, str]], tuple[ConfigError, ...]]:
     """Split an INI text into sections and keys.
 
     Args:
@@ -72,14 +72,14 @@
     try:
         parser.read_string(text, source)
     except configparser.Error as error:
-        return {}, (Fault(source, "", "", error.message),)
+        return {}, (ConfigError(source, "", "", error.message),)
     sections = {name: dict(parser.items(name)) for name in parser.sections()}
     return sections, ()
 
 
 def check_section(
     model: type[Section], values: dict[str, str], source: str, section: str
-) -> tuple[Any, tuple[Fault, ...]]:
+) -> tuple[Any, tuple[ConfigError, ...]]:
     """Check one section against its model.
 
     Args:
@@ -95,7 +95,7 @@
         return model.model_validate(values), ()
     except ValidationError as error:
         faults = tuple(
-            Fault(
+            ConfigError(
                 source,
                 section,
                 ".".join(str(part) for part in item["loc"]),
--- a/ebonyrack/core/line_stream.py
+++ b/ebonyrack/core/line_stream.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable
 
 from ebonyrack.core.address import Address
-from ebonyrack.core.losable_stream import LosableStream
+from ebonyrack.core.connection_stream import ConnectionStream
 
 # Longest line and its end; the protocols that are spoken allow no longer message.
 MAXIMUM_LINE_BYTES = 1024 * 1024
@@ -32,7 +32,7 @@
         self.reason = reason
 
 
-class LineStream(LosableStream):
+class LineStream(ConnectionStream):
     """Splits what arrives into lines.
 
     Attributes:
@@ -57,7 +57,7 @@
         if self.on_connected is not None:
             self.on_connected(self)
 
-    def build_lost(self, reason: str) -> StreamLostError:
+    def build_lost_error(self, reason: str) -> StreamLostError:
         """Build the error that readers and writers get after the end."""
         return StreamLostError(reason)
 
@@ -106,7 +106,7 @@
             await self.wait_for_bytes()
 
 
-async def connect_lines(address: Address, silence_ms: int) -> LineStream:
+async def open_line_stream(address: Address, silence_ms: int) -> LineStream:
     """Open a connection that breaks when sent bytes stay unacknowledged.
 
     Args:
--- a/ebonyrack/core/signal.py
+++ b/ebonyrack/core/notifier.py
@@ -5,7 +5,7 @@
 import asyncio
 
 
-class Signal:
+class Notifier:
     """Wakes all waiting tasks at each notice; a notice is not kept.
 
     Attributes:
--- a/ebonyrack/core/position.py
+++ b/ebonyrack/core/position.py
@@ -25,7 +25,7 @@
         return f"{self.term}/{self.offset}"
 
 
-START = LogPosition(0, 0)
+LOG_START = LogPosition(0, 0)
 
 
 def parse_position(text: str) -> LogPosition:
--- a/ebonyrack/core/settings.py
+++ b/ebonyrack/core/settings.py
@@ -8,7 +8,7 @@
 
 from pydantic import Field
 
-from ebonyrack.core.fault import Fault
+from ebonyrack.core.config_error import ConfigError
 from ebonyrack.core.ini import Addresses
 from ebonyrack.core.ini import AddressField
 from ebonyrack.core.ini import Section
@@ -86,7 +86,9 @@
 }
 
 
-def parse_settings(text: str, source: str) -> tuple[Settings | None, tuple[Fault, ...]]:
+def parse_settings(
+    text: str, source: str
+) -> tuple[Settings | None, tuple[ConfigError, ...]]:
     """Read and check the settings of a daemon as a whole.
 
     Args:
@@ -114,7 +116,7 @@
 
 def find_unknown_sections(
     sections: dict[str, dict[str, str]], source: str
-) -> tuple[Fault, ...]:
+) -> tuple[ConfigError, ...]:
     """Report sections that the settings don't have.
 
     Args:
@@ -126,7 +128,7 @@
     """
     known = ", ".join(SECTION_MODELS)
     return tuple(
-        Fault(source, name, "", f"unknown section; allowed: {known}")
+        ConfigError(source, name, "", f"unknown section; allowed: {known}")
         for name in sections
         if name not in SECTION_MODELS
     )
--- a/ebonyrack/entry/failures_test.py
+++ b/ebonyrack/entry/failures_test.py
@@ -262,7 +262,7 @@
     caller = await connect("booking")
     await caller.ask("WRITE slot-1 mali")
     group = system.proxies[0].proxy.services.groups["scheduling"]
-    group.leader.liveness.note_sent()
+    group.primary.liveness.record_sent()
     time_away_s = 1.2
     await asyncio.sleep(0)
     started_s = now_s()
@@ -323,12 +323,12 @@
     caller, reader = await connect("booking"), await connect("calendar")
     group = system.proxies[0].proxy.services.groups["scheduling"]
     group.limits = replace(group.limits, maximum_connections=1)
-    group.close_unused()
+    group.trim_idle_connections()
     assert (await caller.ask("WRITE slot-1 mali"))[0].startswith("COMPLETE sig")
     assert (await reader.ask("READ slot-1"))[0].startswith("DATAROW")
     assert group.members["up-1"].pool.open_count == 0
     group.started_s = LONG_AGO_S
-    group.close_unused()
+    group.trim_idle_connections()
     assert (await caller.ask("WRITE slot-2 mali"))[0].startswith("COMPLETE sig")
     assert group.members["up-1"].pool.open_count == 1
 
@@ -337,7 +337,7 @@
     group = system.proxies[0].proxy.services.groups["scheduling"]
     group.data_centre = "ayutthaya"
     group.started_s = LONG_AGO_S
-    group.close_unused()
+    group.trim_idle_connections()
     for member in group.members.values():
         await member.pool.warm(1)
         member.pool.idle_since_s = dict.fromkeys(member.pool.idle_since_s, 0.0)
@@ -361,7 +361,7 @@
     reader = await connect("calendar")
     group = system.proxies[0].proxy.services.groups["scheduling"]
     group.started_s = LONG_AGO_S
-    group.close_unused()
+    group.trim_idle_connections()
     for member in group.members.values():
         await member.pool.warm(1)
     await reader.ask("READ slot-1")
@@ -379,7 +379,9 @@
         await system.service.remove(f"servers/{member_id}")
     group = system.proxies[0].proxy.services.groups["scheduling"]
     async with asyncio.timeout(GIVE_UP_S):
-        while any(each.missing_since_s is None for each in group.members.values()):
+        while any(
+            each.entry_missing_since_s is None for each in group.members.values()
+        ):
             await asyncio.sleep(0.02)
     assert (await reader.ask("READ slot-1"))[0] == "DATAROW none"
     assert (await caller.ask("WRITE slot-1 mali"))[0].startswith("COMPLETE sig")
@@ -413,9 +415,9 @@
     # The commit is in the primary's log only and never acknowledged.
     write = asyncio.create_task(caller.ask("WRITE slot-1 somchai"))
     await asyncio.sleep(0.05)
-    group.coverage.clear()
+    group.position_history.clear()
     asked_at_s = boot_time_s()
-    group.note_leads(
+    group.record_primary_reply(
         group.members["up-1"], asked_at_s, system.group.members["up-1"].received
     )
     system.group.promote("up-2")
@@ -424,7 +426,7 @@
     await write
     # Once the new primary is known, reads ask for its positions.
     async with asyncio.timeout(GIVE_UP_S):
-        while group.leadership.confirmed != "up-2":
+        while group.primary_tracker.confirmed != "up-2":
             await asyncio.sleep(0.02)
     for _ in range(5):
         assert (await reader.ask("READ slot-1"))[0] == "DATAROW mali"
--- a/ebonyrack/entry/leader_watch.py
+++ b/ebonyrack/entry/leader_watch.py
@@ -11,18 +11,18 @@
 from ebonyrack.core.clock import PauseDetector
 from ebonyrack.core.clock import boot_time_s
 from ebonyrack.core.clock import now_s
+from ebonyrack.core.component import Component
 from ebonyrack.core.errors import RequestError
-from ebonyrack.core.owner import Owner
 from ebonyrack.core.tasks import end_tasks
 from ebonyrack.core.tasks import start_loop
 from ebonyrack.members.group import Group
 from ebonyrack.members.link import ReplyTimeoutError
 from ebonyrack.members.member import Member
-from ebonyrack.placing.suspicion import Verdict
+from ebonyrack.placing.primary_health import PrimaryHealth
 from ebonyrack.pooling.upstream_lost import UpstreamLostError
 from ebonyrack.promotion.promoter import Promoter
 from ebonyrack.promotion.promoter import PromotionResult
-from ebonyrack.serving.statement_run import note_begun
+from ebonyrack.serving.statement import record_begin_reply
 
 # Between two looks at a primary.
 LOOK_S = 0.1
@@ -46,7 +46,7 @@
 RETRY_PAUSE_S = 0.3
 
 
-class LeaderWatch(Owner):
+class LeaderWatch(Component):
     """Keeps what is known of one group's primary fresh.
 
     Attributes:
@@ -87,20 +87,20 @@
             await self.group.changed.wait(LOOK_S * random.uniform(0.8, 1.2))
             self.note_pause(pauses.measure_pause())
             self.look_at_silent()
-            self.group.close_unused()
-            leader = self.group.leader
-            if leader is None or self.group.verdict is not Verdict.SERVING:
+            self.group.trim_idle_connections()
+            primary = self.group.primary
+            if primary is None or self.group.health is not PrimaryHealth.SERVING:
                 for member in list(self.group.members.values()):
                     self.ask(member)
             elif self.is_sample_due():
-                self.ask(leader)
-            self.group.look_at_primary()
+                self.ask(primary)
+            self.group.update_health()
 
     def is_sample_due(self) -> bool:
         """Whether the primary should be asked for its position again."""
-        is_costly = self.group.is_returning
+        is_costly = self.group.is_short_of_connections
         limit_s = COSTLY_SAMPLE_AGE_S if is_costly else SAMPLE_AGE_S
-        return self.group.coverage.measure_age(boot_time_s()) > limit_s
+        return self.group.position_history.measure_age(boot_time_s()) > limit_s
 
     def note_pause(self, away_s: float) -> None:
         """Count silence anew after this process was away itself."""
@@ -110,7 +110,7 @@
             "proxy_was_away"
         )
         for member in self.group.members.values():
-            member.liveness.forgive()
+            member.liveness.reset_silence()
 
     def look_at_silent(self) -> None:
         """Ask upstreams that are silent; give up what can be read elsewhere."""
@@ -150,7 +150,7 @@
             ).debug("question_not_sent")
             return
         try:
-            began, asked_at_s = await link.ask_lead(QUESTION_TIMEOUT_S)
+            began, asked_at_s = await link.probe_primary(QUESTION_TIMEOUT_S)
         except (UpstreamLostError, ReplyTimeoutError) as error:
             logger.bind(
                 group=self.group.name, upstream=member.member_id, reason=repr(error)
@@ -158,21 +158,21 @@
             return
         finally:
             member.pool.release(link)
-        member.note_position(began.position)
-        note_begun(self.group, member, began, asked_at_s)
+        member.record_position(began.position)
+        record_begin_reply(self.group, member, began, asked_at_s)
 
     async def replace_forever(self) -> None:
         """Have a lost or leaving primary replaced until cancelled."""
         while True:
             await asyncio.sleep(LOOK_S)
-            verdict = self.group.verdict
-            if not verdict.needs_promotion or not self.group.members:
+            health = self.group.health
+            if not health.needs_promotion or not self.group.members:
                 continue
             if not self.is_settled():
                 continue
             await asyncio.sleep(random.uniform(0, DUTY_SPREAD_S))
-            if self.group.look_at_primary() is not verdict:
+            if self.group.update_health() is not health:
                 continue
-            result = await self.promoter.run(verdict)
-            if result is not PromotionResult.LEADS:
+            result = await self.promoter.run(health)
+            if result is not PromotionResult.PROMOTED:
                 await asyncio.sleep(RETRY_PAUSE_S * random.uniform(0.7, 1.3))
--- a/ebonyrack/entry/listener.py
+++ b/ebonyrack/entry/listener.py
@@ -7,8 +7,8 @@
 from loguru import logger
 
 from ebonyrack.core.clock import now_s
+from ebonyrack.core.component import Component
 from ebonyrack.core.line_stream import LineStream
-from ebonyrack.core.owner import Owner
 from ebonyrack.core.tasks import end_tasks
 from ebonyrack.core.tasks import start_loop
 from ebonyrack.entry.caller_connection import CallerConnection
@@ -26,7 +26,7 @@
 DRAIN_LOOK_S = 0.02
 
 
-class Listener(Owner):
+class Listener(Component):
     """Serves callers on one address.
 
     Attributes:
--- a/ebonyrack/entry/route_proxy.py
+++ b/ebonyrack/entry/route_proxy.py
@@ -12,20 +12,20 @@
 from result import Result
 
 from ebonyrack.core.clock import boot_time_s
-from ebonyrack.core.owner import Owner
+from ebonyrack.core.component import Component
 from ebonyrack.core.route_settings import RouteProxySettings
 from ebonyrack.core.tasks import end_tasks
 from ebonyrack.core.tasks import start_loop
 from ebonyrack.entry.leader_watch import LeaderWatch
 from ebonyrack.entry.listener import BALANCER_NOTICE_S
 from ebonyrack.entry.listener import Listener
+from ebonyrack.members.directory import DecodeEntry
+from ebonyrack.members.directory import UpstreamDirectory
 from ebonyrack.members.group import Group
 from ebonyrack.members.presence import PREFIX as PROXIES_PREFIX
 from ebonyrack.members.presence import Presence
-from ebonyrack.members.roster import Decode
-from ebonyrack.members.roster import Roster
-from ebonyrack.placing.suspicion import MISSING_LIMIT_S
-from ebonyrack.promotion.order import OrderDesk
+from ebonyrack.placing.primary_health import MISSING_ENTRY_LIMIT_S
+from ebonyrack.promotion.order import PromotionOrderClient
 from ebonyrack.promotion.promoter import Promoter
 from ebonyrack.requests.codec import CallerCodec
 from ebonyrack.requests.codec import UpstreamCodec
@@ -76,23 +76,23 @@
     """
 
     store: LeasingStore
-    orders: OrderDesk
+    orders: PromotionOrderClient
     caller_codec: CallerCodec
     upstream_codec: UpstreamCodec
     document_key: str
     decode_document: RouteDecoder
     entry_prefix: str
-    decode_entry: Decode
+    decode_entry: DecodeEntry
 
 
-class RouteProxy(Owner):
+class RouteProxy(Component):
     """One proxy process: an async context manager that runs all parts.
 
     Attributes:
         settings: Settings of the process.
         surroundings: What the proxy meets.
         services: What callers' sessions use.
-        roster: The upstreams that the store names.
+        directory: The upstreams that the store names.
         presence: The proxies that live.
         reach: Whether the store answers.
         followers: Follow the parts of the store.
@@ -109,7 +109,7 @@
         self.settings = settings
         self.surroundings = surroundings
         self.services = Services(settings)
-        self.roster = Roster(
+        self.directory = UpstreamDirectory(
             surroundings.entry_prefix, surroundings.decode_entry, self.services.groups
         )
         self.presence = Presence(
@@ -121,7 +121,7 @@
             StoreFollower(
                 store,
                 FollowPlan(surroundings.entry_prefix, pause_s=ENTRIES_PAUSE_S),
-                self.roster.apply,
+                self.directory.apply,
                 self.lacks_upstreams,
                 self.reach,
                 asks_on=True,
@@ -151,7 +151,7 @@
     @property
     def is_ready(self) -> bool:
         """Whether callers should be sent here."""
-        if self.services.drain.is_draining or not self.roster.is_loaded:
+        if self.services.drain.is_draining or not self.directory.is_loaded:
             return False
         groups = self.services.groups.values()
         has_upstreams = any(group.members for group in groups)
@@ -166,7 +166,7 @@
         if self.reach.measure_silence() < ISOLATED_AFTER_S:
             return False
         groups = self.services.groups.values()
-        return any(group.measure_loss() > ISOLATED_AFTER_S for group in groups)
+        return any(group.measure_outage() > ISOLATED_AFTER_S for group in groups)
 
     def shed_if_isolated(self) -> None:
         """Let idle callers connect to other proxies while this one can't serve them.
@@ -237,7 +237,7 @@
         if isinstance(found, Err):
             logger.bind(reason=found.err_value).error("routes_rejected")
             return
-        if self.services.routes.offer(found.ok_value, "store"):
+        if self.services.routes.apply_if_newer(found.ok_value, "store"):
             await self.apply_routes(found.ok_value)
 
     async def apply_routes(self, table: RouteTable) -> None:
@@ -254,7 +254,7 @@
                 self.presence.live_count,
             )
             groups[name] = group
-            await self.roster.join_group(group)
+            await self.directory.add_group(group)
             await self.start_watch(group)
         for name in set(groups) - set(table.groups):
             await self.watches.pop(name).stop()
@@ -286,19 +286,19 @@
         it. A successor chosen before that could lack what an unknown one holds.
         """
         if not self.was_settled:
-            self.was_settled = self.reach.measure_answering() > MISSING_LIMIT_S
+            self.was_settled = self.reach.measure_answering() > MISSING_ENTRY_LIMIT_S
         return self.was_settled
 
     def divide_connections(self) -> None:
         """Set this proxy's share of the upstreams' connections."""
         for group in self.services.groups.values():
-            group.divide_connections(self.presence.live_count)
+            group.update_connection_share(self.presence.live_count)
 
     async def watch_surroundings(self) -> None:
         """Act on what stays away too long, until cancelled."""
         while True:
             await asyncio.sleep(LOOK_S)
             self.shed_if_isolated()
-            await self.roster.drop_missing(
-                self.reach.answering_since_s, MISSING_LIMIT_S
+            await self.directory.remove_missing(
+                self.reach.answering_since_s, MISSING_ENTRY_LIMIT_S
             )
--- a/ebonyrack/entry/session_rules_test.py
+++ b/ebonyrack/entry/session_rules_test.py
@@ -2,7 +2,7 @@
 
 import asyncio
 
-from ebonyrack.placing import coverage
+from ebonyrack.placing import position_history
 from ebonyrack.standins.line_system import build_document
 
 DONE = "COMPLETE -"
@@ -49,7 +49,9 @@
 async def test_without_a_fresh_position_only_the_proved_primary_is_read(
     system, connect, monkeypatch
 ):
-    monkeypatch.setattr(coverage.Coverage, "find_position", lambda self, time_s: None)
+    monkeypatch.setattr(
+        position_history.PositionHistory, "find_position", lambda self, time_s: None
+    )
     caller = await connect("calendar")
     await caller.ask("READ slot-1")
     run = find_runs(system, "READ slot-1")[-1]
--- a/ebonyrack/failover/bench_test.py
+++ b/ebonyrack/failover/bench_test.py
@@ -13,7 +13,7 @@
 from ebonyrack.core.clock import now_s
 from ebonyrack.core.errors import ERROR_ANSWERS
 from ebonyrack.core.errors import ErrorKind
-from ebonyrack.core.errors import Ran
+from ebonyrack.core.errors import Executed
 from ebonyrack.core.errors import RequestError
 from ebonyrack.core.position import parse_position
 from ebonyrack.failover.coordinator import Coordinator
@@ -360,7 +360,10 @@
         try:
             position = await self.proxy.write(request, wait_s=3.0)
         except RequestError as error:
-            outcomes = {Ran.NO: self.undone, Ran.UNKNOWN: self.unknown}
+            outcomes = {
+                Executed.NO: self.undone,
+                Executed.UNKNOWN: self.unknown,
+            }
             outcomes[ERROR_ANSWERS[error.kind].ran].append(request)
             await asyncio.sleep(0.01)
         else:
--- a/ebonyrack/failover/coordinator.py
+++ b/ebonyrack/failover/coordinator.py
@@ -10,8 +10,8 @@
 
 from ebonyrack.core.clock import PauseDetector
 from ebonyrack.core.clock import now_s
+from ebonyrack.core.component import Component
 from ebonyrack.core.logs import log_decision
-from ebonyrack.core.owner import Owner
 from ebonyrack.core.tasks import end_tasks
 from ebonyrack.failover.ballot import Ballot
 from ebonyrack.failover.ballot import BallotOutcome
@@ -49,7 +49,7 @@
 NO_TERM_PAUSE_S = 1.0
 
 
-class Coordinator(Owner):
+class Coordinator(Component):
     """Watches one group and replaces its primary when that fails.
 
     Attributes:
--- a/ebonyrack/load/cluster.py
+++ b/ebonyrack/load/cluster.py
@@ -17,7 +17,7 @@
 from ebonyrack.config.stored import unpack_stored
 from ebonyrack.core.address import Address
 from ebonyrack.core.clock import now_s
-from ebonyrack.core.owner import Owner
+from ebonyrack.core.component import Component
 from ebonyrack.core.position import parse_position
 from ebonyrack.core.settings import StoreSettings
 from ebonyrack.store.store import Store
@@ -50,7 +50,7 @@
     return written.getvalue()
 
 
-class Cluster(Owner):
+class Cluster(Component):
     """The stand-in group, the platform and the document: an async context manager.
 
     Attributes:
--- a/ebonyrack/load/control_host.py
+++ b/ebonyrack/load/control_host.py
@@ -12,7 +12,7 @@
 
 from ebonyrack.core.address import Address
 from ebonyrack.core.clock import now_s
-from ebonyrack.core.owner import Owner
+from ebonyrack.core.component import Component
 from ebonyrack.load.process_stats import read_processor_s
 from ebonyrack.load.process_stats import read_resident_bytes
 from ebonyrack.peers.member import Member
@@ -54,7 +54,7 @@
     print(json.dumps({"event": event, "at_s": now_s(), **fields}), flush=True)
 
 
-class HostedProxy(Owner):
+class HostedProxy(Component):
     """One proxy with its share count: an async context manager.
 
     Attributes:
--- a/ebonyrack/load/fault_link.py
+++ b/ebonyrack/load/fault_link.py
@@ -6,7 +6,7 @@
 import contextlib
 
 from ebonyrack.core.address import Address
-from ebonyrack.core.owner import Owner
+from ebonyrack.core.component import Component
 from ebonyrack.core.tasks import end_tasks
 from ebonyrack.standins.line_upstream import LineUpstream
 
@@ -14,7 +14,7 @@
 HOLD_PAUSE_S = 0.01
 
 
-class FaultLink(Owner):
+class FaultLink(Component):
     """Passes bytes on between proxies and one upstream.
 
     Attributes:
--- a/ebonyrack/load/group_check.py
+++ b/ebonyrack/load/group_check.py
@@ -10,7 +10,7 @@
 
 from ebonyrack.core.address import Address
 from ebonyrack.core.clock import now_s
-from ebonyrack.core.position import START
+from ebonyrack.core.position import LOG_START
 from ebonyrack.load.record import WorkloadRecord
 from ebonyrack.upstreams.contract import EbonyrackContract
 from ebonyrack.upstreams.status import Role
@@ -69,7 +69,7 @@
 ) -> UpstreamStatus:
     """Poll an upstream."""
     contract = EbonyrackContract()
-    cursor = await connection.execute(contract.build_poll(START, 0).encode())
+    cursor = await connection.execute(contract.build_poll(LOG_START, 0).encode())
     row = await cursor.fetchone()
     assert row is not None
     fields = tuple(
--- a/ebonyrack/load/lean_client.py
+++ b/ebonyrack/load/lean_client.py
@@ -10,7 +10,7 @@
 from pygwire.messages import Terminate
 
 from ebonyrack.core.address import Address
-from ebonyrack.core.owner import Owner
+from ebonyrack.core.component import Component
 
 HEADER = struct.Struct("!cI")
 READY = b"Z"
@@ -24,7 +24,7 @@
     """The server refused, or the connection broke."""
 
 
-class LeanClient(Owner):
+class LeanClient(Component):
     """One connection without a password that sends simple queries.
 
     Attributes:
--- a/ebonyrack/load/open_arrivals.py
+++ b/ebonyrack/load/open_arrivals.py
@@ -6,7 +6,7 @@
 import random
 
 from ebonyrack.core.clock import now_s
-from ebonyrack.core.owner import Owner
+from ebonyrack.core.component import Component
 from ebonyrack.core.tasks import end_tasks
 from ebonyrack.load.caller import BookingCaller
 from ebonyrack.load.record import WorkloadRecord
@@ -15,7 +15,7 @@
 OPENING_AT_ONCE = 8
 
 
-class OpenArrivals(Owner):
+class OpenArrivals(Component):
     """A crowd of which one free caller makes each booking: an async context manager.
 
     Attributes:
--- a/ebonyrack/load/soak_daemon.py
+++ b/ebonyrack/load/soak_daemon.py
@@ -8,7 +8,7 @@
 from pathlib import Path
 
 from ebonyrack.core.address import Address
-from ebonyrack.core.owner import Owner
+from ebonyrack.core.component import Component
 from ebonyrack.core.tasks import end_tasks
 from ebonyrack.standins.line_system import find_free_address
 
@@ -24,7 +24,7 @@
 """
 
 
-class SoakDaemon(Owner):
+class SoakDaemon(Component):
     """One proxy process; it is started again whenever it ends.
 
     Attributes:
--- a/ebonyrack/members/roster.py
+++ b/ebonyrack/members/directory.py
@@ -14,10 +14,10 @@
 from ebonyrack.store.leasing_store import StoreChanges
 from ebonyrack.store.leasing_store import StoreItem
 
-Decode = Callable[[StoreItem], Result[MemberEntry, str]]
+DecodeEntry = Callable[[StoreItem], Result[MemberEntry, str]]
 
 
-class Roster:
+class UpstreamDirectory:
     """Entries of the upstreams, handed on to their groups.
 
     An entry that is missing is kept for a while: it may have lapsed while the store
@@ -33,7 +33,9 @@
 
     __slots__ = ("prefix", "decode", "groups", "entries", "is_loaded")
 
-    def __init__(self, prefix: str, decode: Decode, groups: dict[str, Group]) -> None:
+    def __init__(
+        self, prefix: str, decode: DecodeEntry, groups: dict[str, Group]
+    ) -> None:
         self.prefix = prefix
         self.decode = decode
         self.groups = groups
@@ -61,7 +63,7 @@
                 if key.startswith(self.prefix)
             }
         for member_id in missing:
-            self.note_missing(member_id)
+            self.record_missing(member_id)
 
     async def apply_item(self, item: StoreItem) -> None:
         """Take over one entry; one that can't be read changes nothing."""
@@ -88,24 +90,24 @@
         if group is not None:
             await group.apply_entry(entry)
 
-    def note_missing(self, member_id: str) -> None:
+    def record_missing(self, member_id: str) -> None:
         """Note that an entry is not there any more."""
         entry = self.entries.get(member_id)
         group = self.groups.get(entry.group) if entry is not None else None
         member = group.members.get(member_id) if group is not None else None
-        if member is not None and member.missing_since_s is None:
-            member.missing_since_s = boot_time_s()
+        if member is not None and member.entry_missing_since_s is None:
+            member.entry_missing_since_s = boot_time_s()
             logger.bind(group=member.entry.group, upstream=member_id).info(
                 "upstream_entry_missing"
             )
 
-    async def join_group(self, group: Group) -> None:
+    async def add_group(self, group: Group) -> None:
         """Hand a new group the entries that were read before it was known."""
         for entry in list(self.entries.values()):
             if entry.group == group.name:
                 await group.apply_entry(entry)
 
-    async def drop_missing(
+    async def remove_missing(
         self, answering_since_s: float | None, limit_s: float
     ) -> None:
         """Forget upstreams whose entries stay away while the store answers.
@@ -118,13 +120,13 @@
         now = boot_time_s()
         for group in self.groups.values():
             for member in list(group.members.values()):
-                since_s = member.missing_since_s
+                since_s = member.entry_missing_since_s
                 if since_s is None:
                     continue
                 if answering_since_s is None:
-                    member.missing_since_s = now
+                    member.entry_missing_since_s = now
                     continue
                 since_s = max(since_s, answering_since_s)
-                if now - since_s > limit_s and member is not group.leader:
+                if now - since_s > limit_s and member is not group.primary:
                     self.entries.pop(member.member_id, None)
                     await group.remove(member.member_id, "its entry stays away")
--- a/ebonyrack/members/entry.py
+++ b/ebonyrack/members/entry.py
@@ -19,8 +19,8 @@
         slots: Statements that it runs at once.
         is_leaving: Whether it will end soon and wants no new work.
         reports_primary: Whether it sees itself as the primary.
-        born_ms: Time of day of its start, in Unix milliseconds. Another value under
-            the same identity is another upstream, with nothing of before.
+        started_at_ms: Start time in Unix milliseconds. A changed value under the same
+            identity means a restarted upstream that kept no earlier state.
         revision: Revision of the store at which this was written.
     """
 
@@ -31,5 +31,5 @@
     slots: int
     is_leaving: bool
     reports_primary: bool
-    born_ms: int
+    started_at_ms: int
     revision: int
--- a/ebonyrack/members/group.py
+++ b/ebonyrack/members/group.py
@@ -5,26 +5,26 @@
 from loguru import logger
 
 from ebonyrack.core.clock import boot_time_s
-from ebonyrack.core.owner import Owner
+from ebonyrack.core.component import Component
 from ebonyrack.members.entry import MemberEntry
 from ebonyrack.members.member import Member
 from ebonyrack.members.primary_state import PrimaryState
-from ebonyrack.placing.share import compute_kept
-from ebonyrack.placing.share import compute_share
-from ebonyrack.placing.share import is_returning
-from ebonyrack.placing.shedding import Demand
+from ebonyrack.placing.connection_share import compute_idle_limit
+from ebonyrack.placing.connection_share import compute_share
+from ebonyrack.placing.connection_share import is_short_of_connections
+from ebonyrack.placing.shedding import ReadDemand
 from ebonyrack.requests.codec import UpstreamCodec
 from ebonyrack.routes.route import GroupLimits
 
 # A connection that isn't kept is closed after this time unused, in seconds. Opening
 # one takes an upstream's slot for some ten milliseconds, as long as a statement.
-UNUSED_S = 2.0
+IDLE_LIMIT_S = 2.0
 # Questions to the upstreams find a new primary within this time, in seconds; the store
 # knows more only if the upstreams that are known are not all.
-FOUND_BY_QUESTIONS_S = 1.5
+PROBE_DISCOVERY_S = 1.5
 
 
-class Group(PrimaryState, Owner):
+class Group(PrimaryState, Component):
     """A primary and its replicas.
 
     Attributes:
@@ -61,9 +61,9 @@
         self.codec = codec
         super().__init__()
         self.started_s = boot_time_s()
-        self.divide_connections(live_proxies)
+        self.update_connection_share(live_proxies)
         self.queue_weights: dict[str, int] = {}
-        self.demand = Demand()
+        self.demand = ReadDemand()
 
     async def stop(self) -> None:
         """Close every connection."""
@@ -75,7 +75,7 @@
         """Name of the group."""
         return self.limits.name
 
-    def divide_connections(self, live_proxies: int) -> None:
+    def update_connection_share(self, live_proxies: int) -> None:
         """Set how many connections to each upstream this proxy may hold.
 
         Args:
@@ -89,19 +89,21 @@
                 member.pool.resize(share)
 
     @property
-    def is_returning(self) -> bool:
+    def is_short_of_connections(self) -> bool:
         """Whether connections of before the proxy's start may still linger."""
         age_s = boot_time_s() - self.started_s
-        return is_returning(age_s, self.limits.maximum_connections, self.live_proxies)
+        return is_short_of_connections(
+            age_s, self.limits.maximum_connections, self.live_proxies
+        )
 
-    def close_unused(self) -> None:
+    def trim_idle_connections(self) -> None:
         """Close connections that are unused and not kept."""
         for member in self.members.values():
-            leads = member is self.leader
-            member.pool.keeps_unused = not (leads and self.is_returning)
+            is_primary = member is self.primary
+            member.pool.keeps_unused = not (is_primary and self.is_short_of_connections)
             is_near = member.entry.data_centre == self.data_centre
-            kept = compute_kept(self.connection_share, is_near, leads)
-            member.pool.trim_idle(kept, UNUSED_S)
+            kept = compute_idle_limit(self.connection_share, is_near, is_primary)
+            member.pool.trim_idle(kept, IDLE_LIMIT_S)
 
     def set_weights(self, weights: dict[str, int]) -> None:
         """Set the shares of the databases in the queues."""
@@ -116,13 +118,15 @@
             entry: The newest entry of the upstream.
         """
         member = self.members.get(entry.member_id)
-        if member is not None and is_other_upstream(member.entry, entry):
+        if member is not None and is_restarted(member.entry, entry):
             await self.remove(entry.member_id, "it started anew")
             member = None
         if member is None:
             member = Member(entry, self.codec, self.connection_share)
             member.pool.set_weights(self.queue_weights)
-            member.pool.keeps_unused = not (entry.reports_primary and self.is_returning)
+            member.pool.keeps_unused = not (
+                entry.reports_primary and self.is_short_of_connections
+            )
             self.members[entry.member_id] = member
             logger.bind(
                 group=self.name,
@@ -137,9 +141,9 @@
                 "upstream_leaving"
             )
         member.entry = entry
-        member.missing_since_s = None
-        with self.watching_leader("entry"):
-            self.leadership.report(
+        member.entry_missing_since_s = None
+        with self.track_primary_change("entry"):
+            self.primary_tracker.report(
                 entry.member_id, entry.reports_primary, entry.revision
             )
 
@@ -156,18 +160,20 @@
         logger.bind(group=self.name, upstream=member_id, reason=reason).info(
             "upstream_removed"
         )
-        with self.watching_leader(reason):
-            self.leadership.forget(member_id)
+        with self.track_primary_change(reason):
+            self.primary_tracker.forget(member_id)
         await member.stop()
 
     @property
     def lacks_upstreams(self) -> bool:
         """Whether upstreams that are not known yet may be what it needs."""
-        if not self.members or self.measure_gap() > FOUND_BY_QUESTIONS_S:
+        if not self.members or self.measure_known_outage() > PROBE_DISCOVERY_S:
             return True
-        return any(each.missing_since_s is not None for each in self.members.values())
+        return any(
+            each.entry_missing_since_s is not None for each in self.members.values()
+        )
 
 
-def is_other_upstream(known: MemberEntry, entry: MemberEntry) -> bool:
+def is_restarted(known: MemberEntry, entry: MemberEntry) -> bool:
     """Return whether an entry is of an upstream that started anew."""
-    return (known.born_ms, known.address) != (entry.born_ms, entry.address)
+    return (known.started_at_ms, known.address) != (entry.started_at_ms, entry.address)
--- a/ebonyrack/members/link.py
+++ b/ebonyrack/members/link.py
@@ -8,26 +8,26 @@
 from ebonyrack.core.clock import boot_time_s
 from ebonyrack.core.line_stream import LineStream
 from ebonyrack.core.line_stream import StreamLostError
-from ebonyrack.core.line_stream import connect_lines
+from ebonyrack.core.line_stream import open_line_stream
 from ebonyrack.members.entry import MemberEntry
 from ebonyrack.members.liveness import Liveness
-from ebonyrack.members.session_names import PreparedStatement
-from ebonyrack.members.session_names import SessionNames
+from ebonyrack.members.session_context import PreparedStatement
+from ebonyrack.members.session_context import SessionContext
 from ebonyrack.pooling.pool import TOO_MANY_CONNECTIONS
 from ebonyrack.pooling.upstream_lost import UpstreamLostError
 from ebonyrack.requests.codec import UpstreamCodec
 from ebonyrack.requests.reply import RejectionKind
 from ebonyrack.requests.reply import Reply
 from ebonyrack.requests.reply import TransactionState
-from ebonyrack.requests.request import OWN_BEGIN
-from ebonyrack.requests.request import OWN_DISCARD
-from ebonyrack.requests.request import OWN_ROLLBACK
+from ebonyrack.requests.request import BEGIN_REQUEST
+from ebonyrack.requests.request import DISCARD_REQUEST
+from ebonyrack.requests.request import ROLLBACK_REQUEST
 from ebonyrack.requests.request import Request
 from ebonyrack.requests.request import RequestKind
 
 # TCP breaks a connection whose bytes stay unacknowledged this long. Links between
 # data centres answer in a few milliseconds, so only a cut or a dark VM does that.
-UNACKNOWLEDGED_MS = 1500
+UNACKNOWLEDGED_LIMIT_MS = 1500
 
 
 class ReplyTimeoutError(Exception):
@@ -111,8 +111,8 @@
             UpstreamLostError: If the connection broke; what was sent may have run.
             ReplyTimeoutError: If a reply did not come in time.
         """
-        number = self.liveness.note_sent()
-        was_given_up = False
+        number = self.liveness.record_sent()
+        was_abandoned = False
         self.is_abandonable = is_abandonable
         replies: list[Reply] = []
         try:
@@ -123,10 +123,10 @@
                 for _ in requests:
                     replies.append(await self.read_reply())
         except StreamLostError as error:
-            was_given_up = True
+            was_abandoned = True
             raise UpstreamLostError(error.reason) from error
         except TimeoutError:
-            was_given_up = True
+            was_abandoned = True
             self.close()
             raise ReplyTimeoutError from None
         except BaseException:
@@ -134,10 +134,10 @@
             raise
         finally:
             self.is_abandonable = False
-            self.liveness.note_ended(number, was_given_up)
+            self.liveness.record_ended(number, was_abandoned)
         return replies
 
-    async def ask_lead(self, timeout_s: float) -> tuple[Reply, float]:
+    async def probe_primary(self, timeout_s: float) -> tuple[Reply, float]:
         """Open a plain transaction, which only the primary allows, and end it.
 
         Args:
@@ -151,20 +151,23 @@
             UpstreamLostError: If the connection broke.
             ReplyTimeoutError: If no reply came in time.
         """
-        asked_at_s = boot_time_s()
-        began, _ = await self.exchange([OWN_BEGIN, OWN_ROLLBACK], timeout_s)
-        return began, asked_at_s
+        sent_at_s = boot_time_s()
+        began, _ = await self.exchange([BEGIN_REQUEST, ROLLBACK_REQUEST], timeout_s)
+        return began, sent_at_s
 
     async def read_reply(self) -> Reply:
         """Wait for the reply to the oldest statement that has none."""
         reply = await self.codec.read_reply(self.stream)
         self.due -= 1
         self.state = reply.state
-        self.liveness.note_heard()
+        self.liveness.record_reply()
         return reply
 
-    async def set_up(
-        self, names: SessionNames, prepared: PreparedStatement | None, timeout_s: float
+    async def set_up_session(
+        self,
+        context: SessionContext,
+        prepared: PreparedStatement | None,
+        timeout_s: float,
     ) -> None:
         """Give the connection a caller's session values and a prepared statement.
 
@@ -172,7 +175,7 @@
         with other values.
 
         Args:
-            names: What the caller has set.
+            context: What the caller has set.
             prepared: Statement that the caller executes next, or None.
             timeout_s: Seconds to wait.
 
@@ -180,7 +183,7 @@
             UpstreamLostError: If the connection broke or the upstream refused.
             ReplyTimeoutError: If a reply did not come in time.
         """
-        requests = self.plan_set_up(names, prepared)
+        requests = self.plan_session_setup(context, prepared)
         if not requests:
             return
         replies = await self.exchange(requests, timeout_s)
@@ -188,22 +191,22 @@
             if reply.rejection is not None:
                 self.close()
                 raise UpstreamLostError(f"the set-up was refused: {reply.detail}")
-        if requests[0] is OWN_DISCARD:
+        if requests[0] is DISCARD_REQUEST:
             self.prepared.clear()
-        self.values = dict(names.values)
+        self.values = dict(context.values)
         if prepared is not None:
             self.prepared.add(prepared.upstream_name)
 
-    def plan_set_up(
-        self, names: SessionNames, prepared: PreparedStatement | None
+    def plan_session_setup(
+        self, context: SessionContext, prepared: PreparedStatement | None
     ) -> list[Request]:
         """Return the statements that bring the connection to a caller's session."""
         requests: list[Request] = []
         known_values, known_names = self.values, self.prepared
-        if known_values.keys() - names.values.keys():
-            requests.append(OWN_DISCARD)
+        if known_values.keys() - context.values.keys():
+            requests.append(DISCARD_REQUEST)
             known_values, known_names = {}, set()
-        for name, value in names.values.items():
+        for name, value in context.values.items():
             if known_values.get(name) != value:
                 requests.append(Request(RequestKind.SET, name=name, argument=value))
         if prepared is not None and prepared.upstream_name not in known_names:
@@ -236,33 +239,33 @@
         UpstreamLostError: If it can't be reached, another one answers, or it has no
             connection to spare.
     """
-    number = liveness.note_sent()
-    was_given_up = False
+    number = liveness.record_sent()
+    was_abandoned = False
     stream: LineStream | None = None
     try:
         async with asyncio.timeout(timeout_s):
-            stream = await connect_lines(entry.address, UNACKNOWLEDGED_MS)
+            stream = await open_line_stream(entry.address, UNACKNOWLEDGED_LIMIT_MS)
             stream.write(codec.encode_start(entry.group, entry.member_id))
             reply = await codec.read_reply(stream)
     except StreamLostError as error:
-        liveness.note_refused()
+        liveness.record_refusal()
         raise UpstreamLostError(error.reason) from error
     except TimeoutError:
-        was_given_up = True
+        was_abandoned = True
         if stream is not None:
             stream.abort("the session did not open")
         raise UpstreamLostError(f"no session within {timeout_s:.3f} s") from None
     except BaseException:
         # Ended by the pool because the upstream is silent.
-        was_given_up = True
+        was_abandoned = True
         if stream is not None:
             stream.abort("the session did not open")
         raise
     finally:
-        liveness.note_ended(number, was_given_up)
+        liveness.record_ended(number, was_abandoned)
     if reply.rejection is not None:
         stream.abort("the session was refused")
         too_many = reply.rejection is RejectionKind.TOO_MANY_CONNECTIONS
         raise UpstreamLostError(reply.detail, TOO_MANY_CONNECTIONS if too_many else "")
-    liveness.note_heard()
+    liveness.record_reply()
     return UpstreamLink(stream, codec, liveness)
--- a/ebonyrack/members/liveness.py
+++ b/ebonyrack/members/liveness.py
@@ -14,75 +14,75 @@
 
     Attributes:
         unanswered: Time of sending of each exchange without an answer.
-        heard_at_s: Time of the last answer of any kind; 0 if none came yet.
-        given_up_s: Time of sending of the first exchange that was given up, or whose
-            connection broke, since the last answer; None if there is none.
+        replied_at_s: Time of the last answer of any kind; 0 if none came yet.
+        abandoned_sent_s: Time of sending of the first exchange since the last answer
+            that was given up or whose connection broke; None if there is none.
         refused_since_s: Time of the first of the refused connections since the last
             answer, or None.
-        numbers: Numbers for exchanges.
+        exchange_numbers: Numbers for exchanges.
     """
 
     __slots__ = (
         "unanswered",
-        "heard_at_s",
-        "given_up_s",
+        "replied_at_s",
+        "abandoned_sent_s",
         "refused_since_s",
-        "numbers",
+        "exchange_numbers",
     )
 
     def __init__(self) -> None:
         self.unanswered: dict[int, float] = {}
-        self.heard_at_s = 0.0
-        self.given_up_s: float | None = None
+        self.replied_at_s = 0.0
+        self.abandoned_sent_s: float | None = None
         self.refused_since_s: float | None = None
-        self.numbers = itertools.count()
+        self.exchange_numbers = itertools.count()
 
-    def note_sent(self) -> int:
+    def record_sent(self) -> int:
         """Note that something was sent; return the number of the exchange."""
-        number = next(self.numbers)
+        number = next(self.exchange_numbers)
         self.unanswered[number] = boot_time_s()
         return number
 
-    def note_heard(self) -> None:
+    def record_reply(self) -> None:
         """Note that an answer came."""
-        self.heard_at_s = boot_time_s()
-        self.given_up_s = None
+        self.replied_at_s = boot_time_s()
+        self.abandoned_sent_s = None
         self.refused_since_s = None
 
-    def note_refused(self) -> None:
+    def record_refusal(self) -> None:
         """Note that a connection was refused."""
         if self.refused_since_s is None:
             self.refused_since_s = boot_time_s()
 
-    def note_ended(self, number: int, was_given_up: bool = False) -> None:
+    def record_ended(self, number: int, was_abandoned: bool = False) -> None:
         """Note that an exchange has ended.
 
         Args:
             number: Number of the exchange.
-            was_given_up: Whether no answer came in time or the connection broke, so
+            was_abandoned: Whether no answer came in time or the connection broke, so
                 that the silence goes on.
         """
         sent_s = self.unanswered.pop(number, None)
-        if sent_s is None or not was_given_up or sent_s < self.heard_at_s:
+        if sent_s is None or not was_abandoned or sent_s < self.replied_at_s:
             return
-        if self.given_up_s is None or sent_s < self.given_up_s:
-            self.given_up_s = sent_s
+        if self.abandoned_sent_s is None or sent_s < self.abandoned_sent_s:
+            self.abandoned_sent_s = sent_s
 
-    def forgive(self) -> None:
+    def reset_silence(self) -> None:
         """Count silence from now, as this proxy itself was away."""
         now = boot_time_s()
         self.unanswered = dict.fromkeys(self.unanswered, now)
-        self.given_up_s = None
+        self.abandoned_sent_s = None
         self.refused_since_s = None
 
     def measure_silence(self) -> float:
         """Return for how long an exchange waits without anything being heard."""
         sent_s = list(self.unanswered.values())
-        if self.given_up_s is not None:
-            sent_s.append(self.given_up_s)
+        if self.abandoned_sent_s is not None:
+            sent_s.append(self.abandoned_sent_s)
         if not sent_s:
             return 0.0
-        return max(0.0, boot_time_s() - max(min(sent_s), self.heard_at_s))
+        return max(0.0, boot_time_s() - max(min(sent_s), self.replied_at_s))
 
     def measure_refusal(self) -> float:
         """Return for how long connections have been refused, in seconds."""
--- a/ebonyrack/members/member.py
+++ b/ebonyrack/members/member.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 
 from ebonyrack.core.clock import boot_time_s
-from ebonyrack.core.owner import Owner
+from ebonyrack.core.component import Component
 from ebonyrack.core.position import LogPosition
 from ebonyrack.members.entry import MemberEntry
 from ebonyrack.members.link import UpstreamLink
@@ -21,7 +21,7 @@
 # that keeps up applies a commit within this time.
 LAGGING_PAUSE_S = 0.03
 # How long an upstream that turned work away, or broke off, is tried last.
-AVOIDANCE_S = 0.25
+DEPRIORITIZED_S = 0.25
 
 
 @dataclass(slots=True)
@@ -36,7 +36,7 @@
     queue_limit: int = 100
 
 
-class Member(Owner):
+class Member(Component):
     """One upstream.
 
     Attributes:
@@ -45,12 +45,12 @@
         liveness: Whether it answers.
         pool: Connections to it.
         position: Newest position that it has named.
-        lacked: Position that it lacked when a read asked for it, or None.
-        lacked_until_s: Time until which it isn't asked for that again.
-        avoided_until_s: Time until which others are preferred.
+        missing_position: Position that it lacked when a read asked for it, or None.
+        lagging_until_s: Time until which it isn't asked for that again.
+        deprioritized_until_s: Time until which others are preferred.
         abandoned_at_s: Time at which all work here was last given up.
         reply_time: How long it takes to answer.
-        missing_since_s: Time since which its entry is missing, or None.
+        entry_missing_since_s: Time since which its entry is missing, or None.
         write_sent_s: Time of sending of each write or commit without an answer.
         committed_sent_s: Time of sending of the newest one that was acknowledged.
     """
@@ -61,12 +61,12 @@
         "liveness",
         "pool",
         "position",
-        "lacked",
-        "lacked_until_s",
-        "avoided_until_s",
+        "missing_position",
+        "lagging_until_s",
+        "deprioritized_until_s",
         "abandoned_at_s",
         "reply_time",
-        "missing_since_s",
+        "entry_missing_since_s",
         "write_sent_s",
         "committed_sent_s",
     )
@@ -79,12 +79,12 @@
             entry.address, MemberQueue(), limit, self.open_link
         )
         self.position: LogPosition | None = None
-        self.lacked: LogPosition | None = None
-        self.lacked_until_s = 0.0
-        self.avoided_until_s = 0.0
+        self.missing_position: LogPosition | None = None
+        self.lagging_until_s = 0.0
+        self.deprioritized_until_s = 0.0
         self.abandoned_at_s = 0.0
         self.reply_time = ReplyTime()
-        self.missing_since_s: float | None = None
+        self.entry_missing_since_s: float | None = None
         self.write_sent_s: dict[int, float] = {}
         self.committed_sent_s = 0.0
 
@@ -112,7 +112,7 @@
     @property
     def silence_limit_s(self) -> float:
         """Seconds of silence after which no answer is expected any more."""
-        return self.reply_time.limit_silence(boot_time_s())
+        return self.reply_time.compute_silence_limit(boot_time_s())
 
     async def open_link(self, timeout_s: float) -> UpstreamLink:
         """Open a connection outside the pool.
@@ -150,17 +150,17 @@
         self.pool.resume_new_work()
         return count
 
-    def note_position(self, position: LogPosition | None) -> None:
+    def record_position(self, position: LogPosition | None) -> None:
         """Take over the position that a reply named."""
         if position is not None and (self.position is None or position > self.position):
             self.position = position
 
-    def note_lagging(self, position: LogPosition) -> None:
+    def record_lagging(self, position: LogPosition) -> None:
         """Note that the upstream lacks a position."""
-        self.lacked = position
-        self.lacked_until_s = boot_time_s() + LAGGING_PAUSE_S
+        self.missing_position = position
+        self.lagging_until_s = boot_time_s() + LAGGING_PAUSE_S
 
-    def note_rejection(self, reply: Reply, position: LogPosition | None) -> None:
+    def record_rejection(self, reply: Reply, position: LogPosition | None) -> None:
         """Learn from a rejection of a read or of a transaction's beginning.
 
         Args:
@@ -168,16 +168,16 @@
             position: Position that the log had to hold, or None.
         """
         if reply.rejection is RejectionKind.LAGGING and position is not None:
-            self.note_lagging(position)
+            self.record_lagging(position)
         elif reply.rejection is not RejectionKind.READ_ONLY:
-            self.note_trouble()
+            self.deprioritize()
         if reply.rejection is RejectionKind.BUSY:
             self.pool.note_busy()
 
-    def note_reply_time(self, elapsed_s: float) -> None:
+    def record_reply_time(self, elapsed_s: float) -> None:
         """Take a reply time into the averages."""
-        self.reply_time.note(elapsed_s, boot_time_s())
+        self.reply_time.record(elapsed_s, boot_time_s())
 
-    def note_trouble(self) -> None:
+    def deprioritize(self) -> None:
         """Prefer others for a while."""
-        self.avoided_until_s = boot_time_s() + AVOIDANCE_S
+        self.deprioritized_until_s = boot_time_s() + DEPRIORITIZED_S
--- a/ebonyrack/members/presence.py
+++ b/ebonyrack/members/presence.py
@@ -13,7 +13,7 @@
 from result import Err
 
 from ebonyrack.core.clock import boot_time_s
-from ebonyrack.core.owner import Owner
+from ebonyrack.core.component import Component
 from ebonyrack.core.tasks import end_tasks
 from ebonyrack.core.tasks import start_loop
 from ebonyrack.store.backoff import Backoff
@@ -27,32 +27,32 @@
 RENEWAL_S = 3.0
 # A name that has gone counts this much longer: the proxy may be restarted, its lease
 # may have been taken away in an outage, and its connections linger at the upstreams.
-LINGER_S = 15.0
-FIRST_BACKOFF_S = 0.2
+DEPARTED_S = 15.0
+INITIAL_BACKOFF_S = 0.2
 MAXIMUM_BACKOFF_S = 2.0
 
 
-class Presence(Owner):
+class Presence(Component):
     """Keeps this proxy's name in the store and the names of all.
 
     Attributes:
         store: The store.
         name: Name of this proxy.
-        names: Names of the proxies that live, as last heard.
-        gone_at_s: Time at which each of the other names was last heard.
+        live_names: Names of the proxies that live, as last heard.
+        departed_at_s: Time at which each of the other names was last heard.
         on_change: Called when their number changes.
         task: Keeps the name in the store.
     """
 
-    __slots__ = ("store", "name", "names", "gone_at_s", "on_change", "task")
+    __slots__ = ("store", "name", "live_names", "departed_at_s", "on_change", "task")
 
     def __init__(
         self, store: LeasingStore, name: str, on_change: Callable[[], None]
     ) -> None:
         self.store = store
         self.name = name
-        self.names: set[str] = set()
-        self.gone_at_s: dict[str, float] = {}
+        self.live_names: set[str] = set()
+        self.departed_at_s: dict[str, float] = {}
         self.on_change = on_change
         self.task: asyncio.Task[None] | None = None
 
@@ -67,7 +67,7 @@
     @property
     def live_count(self) -> int:
         """Number of proxies that live or did a moment ago, this one included."""
-        return len(self.names | self.gone_at_s.keys() | {self.name})
+        return len(self.live_names | self.departed_at_s.keys() | {self.name})
 
     async def apply(self, changes: StoreChanges) -> None:
         """Take over what the store says.
@@ -86,26 +86,26 @@
             for key in changes.deleted
             if key.startswith(PREFIX)
         }
-        known = self.names
-        self.names = found if changes.is_whole else (known | found) - gone
-        self.note_gone(known - self.names)
+        known = self.live_names
+        self.live_names = found if changes.is_whole else (known | found) - gone
+        self.record_departed(known - self.live_names)
         if self.live_count != before:
             logger.bind(before=before, live=self.live_count).info("proxies_counted")
             self.on_change()
 
-    def note_gone(self, names: set[str]) -> None:
+    def record_departed(self, names: set[str]) -> None:
         """Count names for a while after they have gone."""
         now = boot_time_s()
-        self.gone_at_s.update(dict.fromkeys(names, now))
-        self.gone_at_s = {
+        self.departed_at_s.update(dict.fromkeys(names, now))
+        self.departed_at_s = {
             name: gone_s
-            for name, gone_s in self.gone_at_s.items()
-            if now - gone_s < LINGER_S and name not in self.names
+            for name, gone_s in self.departed_at_s.items()
+            if now - gone_s < DEPARTED_S and name not in self.live_names
         }
 
     async def register(self) -> None:
         """Keep the name in the store until cancelled."""
-        backoff = Backoff(FIRST_BACKOFF_S, MAXIMUM_BACKOFF_S)
+        backoff = Backoff(INITIAL_BACKOFF_S, MAXIMUM_BACKOFF_S)
         while True:
             lease = await self.write_name()
             if lease is not None:
--- a/ebonyrack/members/primary_state.py
+++ b/ebonyrack/members/primary_state.py
@@ -9,21 +9,21 @@
 from ebonyrack.core.clock import now_s
 from ebonyrack.core.errors import ErrorKind
 from ebonyrack.core.errors import RequestError
+from ebonyrack.core.notifier import Notifier
 from ebonyrack.core.position import LogPosition
-from ebonyrack.core.signal import Signal
 from ebonyrack.members.member import Member
-from ebonyrack.placing.coverage import Coverage
-from ebonyrack.placing.coverage import PositionSample
-from ebonyrack.placing.leadership import Leadership
-from ebonyrack.placing.primary_gap import EXPECTED_SEARCH_S
-from ebonyrack.placing.primary_gap import GapEstimate
-from ebonyrack.placing.primary_gap import decide_gap
-from ebonyrack.placing.suspicion import PrimaryView
-from ebonyrack.placing.suspicion import Verdict
-from ebonyrack.placing.suspicion import judge_primary
+from ebonyrack.placing.position_history import PositionHistory
+from ebonyrack.placing.position_history import PositionSample
+from ebonyrack.placing.primary_health import PrimaryHealth
+from ebonyrack.placing.primary_health import PrimaryObservation
+from ebonyrack.placing.primary_health import assess_primary
+from ebonyrack.placing.primary_outage import EXPECTED_DISCOVERY_S
+from ebonyrack.placing.primary_outage import OutageEstimate
+from ebonyrack.placing.primary_outage import decide_wait
+from ebonyrack.placing.primary_tracker import PrimaryTracker
 
 # Those who wait for a primary look again at the latest after this, in seconds.
-WAIT_LOOK_S = 0.1
+RECHECK_INTERVAL_S = 0.1
 
 
 class PrimaryState:
@@ -31,35 +31,35 @@
 
     Attributes:
         members: Upstreams by identity.
-        leadership: Which of them is taken for the primary.
-        coverage: Positions of the primary at known times.
+        primary_tracker: Which of them is taken for the primary.
+        position_history: Positions of the primary at known times.
         changed: Wakes those who wait for a primary.
         unknown_since_s: Time since which no primary is known, or None.
-        verdict: What was found about the primary at the last look.
+        health: What was found about the primary at the last look.
         lost_since_s: Time since which the verdict is that it is lost, or None.
-        gaps: How long such times have lasted.
+        outage_estimate: How long such times have lasted.
     """
 
     __slots__ = (
         "members",
-        "leadership",
-        "coverage",
+        "primary_tracker",
+        "position_history",
         "changed",
         "unknown_since_s",
-        "verdict",
+        "health",
         "lost_since_s",
-        "gaps",
+        "outage_estimate",
     )
 
     def __init__(self) -> None:
         self.members: dict[str, Member] = {}
-        self.leadership = Leadership()
-        self.coverage = Coverage()
-        self.changed = Signal()
+        self.primary_tracker = PrimaryTracker()
+        self.position_history = PositionHistory()
+        self.changed = Notifier()
         self.unknown_since_s: float | None = boot_time_s()
-        self.verdict = Verdict.SERVING
+        self.health = PrimaryHealth.SERVING
         self.lost_since_s: float | None = None
-        self.gaps = GapEstimate()
+        self.outage_estimate = OutageEstimate()
 
     @property
     def name(self) -> str:
@@ -67,49 +67,49 @@
         raise NotImplementedError
 
     @property
-    def leader(self) -> Member | None:
+    def primary(self) -> Member | None:
         """The upstream that is taken for the primary, or None."""
-        leader_id = self.leadership.leader
+        leader_id = self.primary_tracker.primary_id
         return self.members.get(leader_id) if leader_id is not None else None
 
-    def note_leads(
-        self, member: Member, asked_at_s: float, position: LogPosition | None
+    def record_primary_reply(
+        self, member: Member, sent_at_s: float, position: LogPosition | None
     ) -> None:
         """Take an answer that only the primary gives.
 
         Args:
             member: The upstream.
-            asked_at_s: Time of sending of the question, on the boot clock.
+            sent_at_s: Time of sending of the question, on the boot clock.
             position: Position that the answer named.
         """
         if position is None or member.member_id not in self.members:
             return
-        member.note_position(position)
-        before = self.leadership.confirmed
-        with self.watching_leader("answer"):
-            self.leadership.confirm(member.member_id, position.term)
-        if before != self.leadership.confirmed:
+        member.record_position(position)
+        before = self.primary_tracker.confirmed
+        with self.track_primary_change("answer"):
+            self.primary_tracker.confirm(member.member_id, position.term)
+        if before != self.primary_tracker.confirmed:
             # The log of an earlier primary may have ended in commits that the change
             # took back; no upstream will ever hold those positions.
-            self.coverage.clear()
-        if self.leadership.confirmed == member.member_id:
-            self.coverage.add(PositionSample(asked_at_s, position))
+            self.position_history.clear()
+        if self.primary_tracker.confirmed == member.member_id:
+            self.position_history.add(PositionSample(sent_at_s, position))
 
-    def note_not_leading(self, member: Member) -> None:
+    def record_not_primary(self, member: Member) -> None:
         """Take a refusal that only a replica gives."""
-        with self.watching_leader("refusal"):
-            self.leadership.deny(member.member_id)
+        with self.track_primary_change("refusal"):
+            self.primary_tracker.deny(member.member_id)
 
-    def watching_leader(self, reason: str) -> LeaderChange:
+    def track_primary_change(self, reason: str) -> PrimaryChange:
         """Return a context that logs and reports a change of the primary."""
-        return LeaderChange(self, reason)
+        return PrimaryChange(self, reason)
 
-    def note_leader_changed(self, before: str | None, reason: str) -> None:
+    def report_primary_change(self, before: str | None, reason: str) -> None:
         """Log a change of the primary and wake those who wait for one."""
-        leader = self.leadership.leader
-        if leader == before:
+        primary = self.primary_tracker.primary_id
+        if primary == before:
             return
-        if leader is None:
+        if primary is None:
             self.unknown_since_s = self.unknown_since_s or boot_time_s()
         else:
             self.unknown_since_s = None
@@ -117,70 +117,70 @@
         logger.bind(
             group=self.name,
             before=before,
-            upstream=leader,
-            term=self.leadership.confirmed_term,
+            upstream=primary,
+            term=self.primary_tracker.confirmed_term,
             reason=reason,
         ).info("primary_changed")
         self.changed.notify()
 
-    def view_primary(self) -> PrimaryView:
+    def observe_primary(self) -> PrimaryObservation:
         """Return what is seen of the primary now."""
-        leader = self.leader
+        primary = self.primary
         now = boot_time_s()
-        if leader is None:
+        if primary is None:
             unknown_since_s = self.unknown_since_s or now
-            return PrimaryView(False, unknown_for_s=now - unknown_since_s)
-        missing_since_s = leader.missing_since_s
-        return PrimaryView(
+            return PrimaryObservation(False, unknown_for_s=now - unknown_since_s)
+        entry_missing_since_s = primary.entry_missing_since_s
+        return PrimaryObservation(
             is_known=True,
-            silent_for_s=leader.liveness.measure_silence(),
-            silence_limit_s=leader.silence_limit_s,
-            refused_for_s=leader.liveness.measure_refusal(),
-            stalled_for_s=leader.measure_stall(),
-            is_leaving=leader.entry.is_leaving,
-            missing_for_s=now - missing_since_s if missing_since_s else 0.0,
+            silent_for_s=primary.liveness.measure_silence(),
+            silence_limit_s=primary.silence_limit_s,
+            refused_for_s=primary.liveness.measure_refusal(),
+            stalled_for_s=primary.measure_stall(),
+            is_leaving=primary.entry.is_leaving,
+            missing_for_s=now - entry_missing_since_s if entry_missing_since_s else 0.0,
         )
 
-    def look_at_primary(self) -> Verdict:
+    def update_health(self) -> PrimaryHealth:
         """Judge the primary again; log a change of the verdict."""
-        view = self.view_primary()
-        verdict = judge_primary(view)
-        if verdict is not self.verdict:
-            leader = self.leadership.leader
+        view = self.observe_primary()
+        health = assess_primary(view)
+        if health is not self.health:
+            primary = self.primary_tracker.primary_id
             logger.bind(
                 group=self.name,
-                upstream=leader,
-                before=self.verdict,
-                verdict=verdict,
+                upstream=primary,
+                before=self.health,
+                verdict=health,
                 silent_for_s=round(view.silent_for_s, 3),
                 silence_limit_s=round(view.silence_limit_s, 3),
                 refused_for_s=round(view.refused_for_s, 3),
                 stalled_for_s=round(view.stalled_for_s, 3),
             ).warning("primary_judged")
-            self.verdict = verdict
-            self.note_gap(verdict)
-        return verdict
+            self.health = health
+            self.record_outage(health)
+        return health
 
-    def note_gap(self, verdict: Verdict) -> None:
+    def record_outage(self, health: PrimaryHealth) -> None:
         """Note the start or the end of a time without a primary that serves."""
         now = boot_time_s()
-        is_lost = verdict not in (Verdict.SERVING, Verdict.LEAVING)
+        is_lost = health not in (PrimaryHealth.SERVING, PrimaryHealth.LEAVING)
         if is_lost and self.lost_since_s is None:
             self.lost_since_s = now
         elif not is_lost and self.lost_since_s is not None:
-            self.gaps.note_gap(now - self.lost_since_s)
+            self.outage_estimate.record_outage(now - self.lost_since_s)
             self.lost_since_s = None
             self.changed.notify()
 
     @property
     def serves_writes(self) -> bool:
         """Whether the primary is known and taken to be alive."""
-        return self.leader is not None and self.verdict in (
-            Verdict.SERVING,
-            Verdict.LEAVING,
+        return self.primary is not None and self.health in (
+            PrimaryHealth.SERVING,
+            PrimaryHealth.LEAVING,
         )
 
-    async def wait_for_leader(self, deadline_s: float) -> Member:
+    async def wait_for_primary(self, deadline_s: float) -> Member:
         """Return the primary; wait for one only if it can come in time.
 
         Args:
@@ -190,33 +190,35 @@
             RequestError: NO_PRIMARY, with the time after which to come back.
         """
         while not self.serves_writes:
-            time_left_s = deadline_s - now_s()
-            decision = decide_gap(self.measure_gap(), time_left_s, self.expect_gap())
+            remaining_s = deadline_s - now_s()
+            decision = decide_wait(
+                self.measure_known_outage(), remaining_s, self.estimate_outage()
+            )
             if not decision.waits:
                 raise RequestError(
                     ErrorKind.NO_PRIMARY,
-                    f"no primary for {self.measure_loss():.3f} s",
+                    f"no primary for {self.measure_outage():.3f} s",
                     decision.retry_after_s,
                 )
-            await self.changed.wait(min(WAIT_LOOK_S, time_left_s))
-        leader = self.leader
-        assert leader is not None
-        return leader
+            await self.changed.wait(min(RECHECK_INTERVAL_S, remaining_s))
+        primary = self.primary
+        assert primary is not None
+        return primary
 
-    def measure_gap(self) -> float:
+    def measure_known_outage(self) -> float:
         """Return for how long it has been known here that no primary serves."""
         since_s = self.lost_since_s or self.unknown_since_s
         return boot_time_s() - since_s if since_s is not None else 0.0
 
-    def expect_gap(self) -> float:
+    def estimate_outage(self) -> float:
         """Return how long the present gap should last, in seconds."""
         # A primary that has refused as a replica has a successor to be found.
-        is_searching = self.leader is None and self.verdict is Verdict.SERVING
-        return EXPECTED_SEARCH_S if is_searching else self.gaps.expected_s
+        is_searching = self.primary is None and self.health is PrimaryHealth.SERVING
+        return EXPECTED_DISCOVERY_S if is_searching else self.outage_estimate.expected_s
 
-    def measure_loss(self) -> float:
+    def measure_outage(self) -> float:
         """Return for how long the group has had no primary that serves."""
-        view = self.view_primary()
+        view = self.observe_primary()
         return max(
             view.unknown_for_s,
             view.silent_for_s,
@@ -225,7 +227,7 @@
         )
 
 
-class LeaderChange:
+class PrimaryChange:
     """Reports a change of the primary that happens inside the context.
 
     Attributes:
@@ -242,7 +244,7 @@
         self.before: str | None = None
 
     def __enter__(self) -> None:
-        self.before = self.group.leadership.leader
+        self.before = self.group.primary_tracker.primary_id
 
     def __exit__(self, *error: object) -> None:
-        self.group.note_leader_changed(self.before, self.reason)
+        self.group.report_primary_change(self.before, self.reason)
--- a/ebonyrack/members/read_candidates.py
+++ b/ebonyrack/members/read_candidates.py
@@ -17,27 +17,27 @@
 
 # A read prefers others to an upstream that was silent this long, in seconds; usual
 # statements take a tenth of it.
-SILENT_READ_S = 0.25
+READ_SILENCE_LIMIT_S = 0.25
 
 
 @dataclass(frozen=True, slots=True)
-class PlacedRead:
+class PlacementRequest:
     """A read or a transaction that reads, on its way to an upstream.
 
     Attributes:
         position: Position that it must see; None if only the primary will do.
         caller: Name under which it waits in queues.
         work_class: Reads with which it gives way.
-        draw: Random number from 0 to 1 by which a share of a class is chosen.
+        shedding_draw: Random number from 0 to 1 by which a share of a class is chosen.
     """
 
     position: LogPosition | None
     caller: str
     work_class: WorkClass
-    draw: float
+    shedding_draw: float
 
 
-def order_reads(group: Group, read: PlacedRead, tried: set[str]) -> list[str]:
+def order_upstreams(group: Group, read: PlacementRequest, tried: set[str]) -> list[str]:
     """Return the upstreams that may serve a read, the best first.
 
     Args:
@@ -49,78 +49,80 @@
         RequestError: WAIT_TOO_LONG if it gives way at all that are left.
     """
     now = boot_time_s()
-    group.demand.note(read.work_class, now)
+    group.demand.record(read.work_class, now)
     candidates = [
         build_candidate(group, member, read, now)
         for member in group.members.values()
-        if member.member_id not in tried and takes_new_work(member)
+        if member.member_id not in tried and accepts_new_work(member)
     ]
     ordered = order_candidates(candidates)
     if not ordered:
         for candidate in candidates:
             if candidate.is_reachable:
-                raise build_crowded(group.members[candidate.member_id], read.caller)
+                raise build_overload_error(
+                    group.members[candidate.member_id], read.caller
+                )
     return ordered
 
 
-def check_crowding(group: Group, read: PlacedRead, primary: Member) -> None:
+def check_shedding(group: Group, read: PlacementRequest, primary: Member) -> None:
     """Let a read that needs the primary give way while that is crowded.
 
     Raises:
         RequestError: WAIT_TOO_LONG if it gives way.
     """
-    group.demand.note(read.work_class, boot_time_s())
-    if gives_way(group, primary, read):
-        raise build_crowded(primary, read.caller)
+    group.demand.record(read.work_class, boot_time_s())
+    if is_shed(group, primary, read):
+        raise build_overload_error(primary, read.caller)
 
 
-def gives_way(group: Group, member: Member, read: PlacedRead) -> bool:
+def is_shed(group: Group, member: Member, read: PlacementRequest) -> bool:
     """Return whether a read gives way to others at an upstream."""
     active = group.demand.list_active()
-    return read.draw < compute_shed_share(
-        read.work_class, active, expect_answer(member, read.caller)
+    return read.shedding_draw < compute_shed_share(
+        read.work_class, active, estimate_answer_time(member, read.caller)
     )
 
 
-def expect_answer(member: Member, caller: str) -> float:
+def estimate_answer_time(member: Member, caller: str) -> float:
     """Return how long a read takes at an upstream now, in seconds."""
     return member.pool.expect_wait(caller) + member.expected_reply_s
 
 
-def build_crowded(member: Member, caller: str) -> RequestError:
+def build_overload_error(member: Member, caller: str) -> RequestError:
     """Build the refusal of a read that gives way, with a time to come back."""
-    answer_s = expect_answer(member, caller)
+    answer_s = estimate_answer_time(member, caller)
     return member.pool.build_refusal(
         ErrorKind.WAIT_TOO_LONG, f"crowded, an answer takes {answer_s:.3f} s"
     )
 
 
 def build_candidate(
-    group: Group, member: Member, read: PlacedRead, now: float
+    group: Group, member: Member, read: PlacementRequest, now: float
 ) -> ReadCandidate:
     """Return what placing a read needs to know of an upstream."""
     position = read.position
     lacks = (
         position is not None
-        and member.lacked is not None
-        and member.lacked <= position
-        and now < member.lacked_until_s
+        and member.missing_position is not None
+        and member.missing_position <= position
+        and now < member.lagging_until_s
         and (member.position is None or member.position < position)
     )
-    is_silent = member.liveness.measure_silence() > SILENT_READ_S
+    is_silent = member.liveness.measure_silence() > READ_SILENCE_LIMIT_S
     return ReadCandidate(
         member_id=member.member_id,
         is_near=member.entry.data_centre == group.data_centre,
-        leads=member is group.leader,
+        is_primary=member is group.primary,
         is_reachable=member.is_reachable,
-        is_avoided=lacks or is_silent or now < member.avoided_until_s,
-        is_spared=gives_way(group, member, read),
+        is_deprioritized=lacks or is_silent or now < member.deprioritized_until_s,
+        is_shed=is_shed(group, member, read),
         latency_s=member.expected_reply_s,
         expected_wait_s=member.pool.expect_wait(read.caller),
     )
 
 
-def takes_new_work(member: Member) -> bool:
+def accepts_new_work(member: Member) -> bool:
     """Return whether an upstream wants new work, as far as is known.
 
     One whose entry is missing is used until it counts as gone: all entries lapse at
--- a/ebonyrack/members/session_names.py
+++ b/ebonyrack/members/session_context.py
@@ -8,7 +8,7 @@
 from functools import lru_cache
 
 # Callers prepare few shapes, each of them in many sessions.
-REMEMBERED_SHAPES = 4096
+NAME_CACHE_SIZE = 4096
 
 
 @dataclass(frozen=True, slots=True)
@@ -29,11 +29,11 @@
 
         Callers' own names collide, and sharing by shape spares preparing again.
         """
-        return derive_name(self.shape, self.writes)
+        return derive_statement_name(self.shape, self.writes)
 
 
-@lru_cache(maxsize=REMEMBERED_SHAPES)
-def derive_name(shape: bytes, writes: bool) -> bytes:
+@lru_cache(maxsize=NAME_CACHE_SIZE)
+def derive_statement_name(shape: bytes, writes: bool) -> bytes:
     """Return the name of a prepared statement on connections to upstreams."""
     digest = hashlib.sha256(shape).hexdigest()[:24]
     kind = "w" if writes else "r"
@@ -41,7 +41,7 @@
 
 
 @dataclass(slots=True)
-class SessionNames:
+class SessionContext:
     """Values and prepared statements of one caller's session.
 
     Attributes:
--- a/ebonyrack/ops/client.py
+++ b/ebonyrack/ops/client.py
@@ -9,7 +9,7 @@
 from scramp import ScramException
 
 from ebonyrack.core.address import Address
-from ebonyrack.core.owner import Owner
+from ebonyrack.core.component import Component
 from ebonyrack.core.verifier import MECHANISM
 from ebonyrack.ops.exit_status import CommandError
 from ebonyrack.ops.exit_status import ExitStatus
@@ -48,7 +48,7 @@
     timeout_s: float
 
 
-class ProxyClient(Owner):
+class ProxyClient(Component):
     """A link to the first proxy that answers: an async context manager.
 
     Attributes:
--- a/ebonyrack/peers/contacts.py
+++ b/ebonyrack/peers/contacts.py
@@ -13,7 +13,7 @@
 
 from ebonyrack.core.address import Address
 from ebonyrack.core.clock import now_s
-from ebonyrack.core.owner import Owner
+from ebonyrack.core.component import Component
 from ebonyrack.core.tasks import end_tasks
 from ebonyrack.peers.link import PeerLostError
 from ebonyrack.peers.member import Member
@@ -52,7 +52,7 @@
         return self.task is not None and not self.task.done()
 
 
-class Contacts(Owner):
+class Contacts(Component):
     """Dials the peers that a proxy wants links to: an async context manager.
 
     Up to `FULL_MESH_LIMIT` proxies each is linked to all others. Above it each
--- a/ebonyrack/peers/heartbeat.py
+++ b/ebonyrack/peers/heartbeat.py
@@ -10,7 +10,7 @@
 
 from ebonyrack.core.clock import PauseDetector
 from ebonyrack.core.clock import now_s
-from ebonyrack.core.owner import Owner
+from ebonyrack.core.component import Component
 from ebonyrack.core.tasks import end_tasks
 from ebonyrack.peers.link import PeerLink
 from ebonyrack.peers.link import PeerLostError
@@ -32,7 +32,7 @@
 SYNC_TIMEOUT_S = 2.0
 
 
-class HeartbeatTask(Owner):
+class HeartbeatTask(Component):
     """Sends heartbeats and news: an async context manager.
 
     Attributes:
--- a/ebonyrack/peers/hub.py
+++ b/ebonyrack/peers/hub.py
@@ -11,7 +11,7 @@
 
 from ebonyrack.core.address import Address
 from ebonyrack.core.clock import now_s
-from ebonyrack.core.owner import Owner
+from ebonyrack.core.component import Component
 from ebonyrack.core.settings import Settings
 from ebonyrack.core.tasks import end_tasks
 from ebonyrack.peers.contacts import Contacts
@@ -40,7 +40,7 @@
 Callback = Callable[[PeerLink, Any], Awaitable[Message | None]]
 
 
-class PeerHub(Owner):
+class PeerHub(Component):
     """The links to the other proxies: an async context manager.
 
     Attributes:
--- a/ebonyrack/peers/link.py
+++ b/ebonyrack/peers/link.py
@@ -11,7 +11,7 @@
 
 from ebonyrack.core.address import Address
 from ebonyrack.core.clock import now_s
-from ebonyrack.core.owner import Owner
+from ebonyrack.core.component import Component
 from ebonyrack.core.tasks import end_tasks
 from ebonyrack.peers.frames import FrameStream
 from ebonyrack.peers.frames import Traffic
@@ -41,7 +41,7 @@
 Handler = Callable[["PeerLink", Message], Awaitable[Message | None]]
 
 
-class PeerLink(FrameStream, Owner):
+class PeerLink(FrameStream, Component):
     """A link to another process: an async context manager with one read task.
 
     It ends when either side closes it, sends what is no valid frame, or doesn't
--- a/ebonyrack/peers/shares.py
+++ b/ebonyrack/peers/shares.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 
 from ebonyrack.core.clock import now_s
-from ebonyrack.core.owner import Owner
+from ebonyrack.core.component import Component
 from ebonyrack.core.tasks import end_tasks
 from ebonyrack.peers.member import Member
 from ebonyrack.peers.member import MemberState
@@ -16,7 +16,7 @@
 REMEMBER_LOST_S = 600.0
 
 
-class ShareCount(Owner):
+class ShareCount(Component):
     """Counts the proxies that share connections: an async context manager.
 
     A proxy that died without a word counts for `LINGER_S` more, since the upstream
--- a/ebonyrack/placing/share.py
+++ b/ebonyrack/placing/connection_share.py
@@ -13,10 +13,10 @@
 # Left for promotions, which open connections outside the pools.
 RESERVED_CONNECTIONS = 2
 # One more proxy than is known may have just started.
-UNSEEN_PROXIES = 1
+UNCOUNTED_PROXIES = 1
 # Upstreams drop connections of a VM that is gone after three seconds, and may notice
 # that somewhat late.
-RETURN_S = 3.5
+STARTUP_SHORTAGE_S = 3.5
 
 
 def compute_share(maximum_connections: int, live_proxies: int) -> int:
@@ -27,21 +27,23 @@
         live_proxies: Proxies that are known to live, this one included.
     """
     usable = maximum_connections - RESERVED_CONNECTIONS
-    return max(1, usable // (max(1, live_proxies) + UNSEEN_PROXIES))
+    return max(1, usable // (max(1, live_proxies) + UNCOUNTED_PROXIES))
 
 
-def compute_kept(share: int, is_near: bool, leads: bool) -> int:
+def compute_idle_limit(share: int, is_near: bool, is_primary: bool) -> int:
     """Return the connections to an upstream that a proxy keeps unused.
 
     Args:
         share: Connections that it may hold.
         is_near: Whether the upstream is in the proxy's own data centre.
-        leads: Whether it is the primary, which every proxy needs.
+        is_primary: Whether it is the primary, which every proxy needs.
     """
-    return share if is_near or leads else 0
+    return share if is_near or is_primary else 0
 
 
-def is_returning(age_s: float, maximum_connections: int, live_proxies: int) -> bool:
+def is_short_of_connections(
+    age_s: float, maximum_connections: int, live_proxies: int
+) -> bool:
     """Return whether a proxy leaves unused connections to the primary to others.
 
     It does so where not every proxy can have one beside all that may linger.
@@ -53,4 +55,4 @@
     """
     lingering = live_proxies * compute_share(maximum_connections, live_proxies)
     is_short = lingering + live_proxies > maximum_connections
-    return is_short and age_s <= RETURN_S
+    return is_short and age_s <= STARTUP_SHORTAGE_S
--- a/ebonyrack/placing/decisions_test.py
+++ b/ebonyrack/placing/decisions_test.py
@@ -5,26 +5,26 @@
 from hypothesis import strategies as st
 
 from ebonyrack.core.position import LogPosition
-from ebonyrack.placing.coverage import Coverage
-from ebonyrack.placing.coverage import PositionSample
-from ebonyrack.placing.leadership import Leadership
-from ebonyrack.placing.primary_gap import EXPECTED_GAP_S
-from ebonyrack.placing.primary_gap import EXPECTED_SEARCH_S
-from ebonyrack.placing.primary_gap import decide_gap
+from ebonyrack.placing.connection_share import compute_idle_limit
+from ebonyrack.placing.connection_share import compute_share
+from ebonyrack.placing.connection_share import is_short_of_connections
+from ebonyrack.placing.position_history import PositionHistory
+from ebonyrack.placing.position_history import PositionSample
+from ebonyrack.placing.primary_health import PrimaryHealth
+from ebonyrack.placing.primary_health import PrimaryObservation
+from ebonyrack.placing.primary_health import assess_primary
+from ebonyrack.placing.primary_outage import EXPECTED_DISCOVERY_S
+from ebonyrack.placing.primary_outage import EXPECTED_OUTAGE_S
+from ebonyrack.placing.primary_outage import decide_wait
+from ebonyrack.placing.primary_tracker import PrimaryTracker
+from ebonyrack.placing.promotion_candidate import ReplicaState
+from ebonyrack.placing.promotion_candidate import choose_candidate
+from ebonyrack.placing.promotion_candidate import is_safe_candidate
 from ebonyrack.placing.read_order import ReadCandidate
 from ebonyrack.placing.read_order import order_candidates
-from ebonyrack.placing.reply_time import LONGEST_LIMIT_S
-from ebonyrack.placing.reply_time import SHORTEST_LIMIT_S
+from ebonyrack.placing.reply_time import MAXIMUM_SILENCE_LIMIT_S
+from ebonyrack.placing.reply_time import MINIMUM_SILENCE_LIMIT_S
 from ebonyrack.placing.reply_time import ReplyTime
-from ebonyrack.placing.share import compute_kept
-from ebonyrack.placing.share import compute_share
-from ebonyrack.placing.share import is_returning
-from ebonyrack.placing.successor import ReplicaState
-from ebonyrack.placing.successor import choose_candidate
-from ebonyrack.placing.successor import is_safe_successor
-from ebonyrack.placing.suspicion import PrimaryView
-from ebonyrack.placing.suspicion import Verdict
-from ebonyrack.placing.suspicion import judge_primary
 
 SAMPLES = st.lists(
     st.tuples(st.floats(0, 5), st.integers(0, 50)).map(
@@ -37,10 +37,10 @@
 def build_candidate(member_id, **changes):
     values = {
         "is_near": True,
-        "leads": False,
+        "is_primary": False,
         "is_reachable": True,
-        "is_avoided": False,
-        "is_spared": False,
+        "is_deprioritized": False,
+        "is_shed": False,
         "latency_s": 0.02,
         "expected_wait_s": 0.0,
     }
@@ -49,16 +49,16 @@
 
 @given(SAMPLES, st.floats(0, 5))
 def test_a_position_is_never_of_a_question_older_than_asked_for(samples, time_s):
-    coverage = Coverage()
+    coverage = PositionHistory()
     for sample in samples:
         coverage.add(sample)
     position = coverage.find_position(time_s)
-    young = [s.position for s in coverage.samples if s.asked_at_s >= time_s]
+    young = [s.position for s in coverage.samples if s.sent_at_s >= time_s]
     assert position in young if young else position is None
 
 
 def test_the_oldest_position_that_is_young_enough_is_taken():
-    coverage = Coverage()
+    coverage = PositionHistory()
     for number in range(10):
         coverage.add(PositionSample(float(number), LogPosition(1, number)))
     assert coverage.find_position(4.5) == LogPosition(1, 5)
@@ -73,16 +73,16 @@
 
 
 def test_one_that_lacks_the_position_is_tried_last():
-    lagging = build_candidate("near", is_avoided=True)
-    far = build_candidate("far", is_near=False, leads=True)
+    lagging = build_candidate("near", is_deprioritized=True)
+    far = build_candidate("far", is_near=False, is_primary=True)
     assert order_candidates([lagging, far]) == ["far", "near"]
 
 
 def test_one_that_does_not_answer_is_not_tried_however_long_the_others_queue():
     # A primary has crashed; one replica lacks the position, the other has a queue.
-    lagging = build_candidate("near", is_avoided=True)
+    lagging = build_candidate("near", is_deprioritized=True)
     crowded = build_candidate("far", expected_wait_s=2.0)
-    dead = build_candidate("dead", leads=True, is_reachable=False)
+    dead = build_candidate("dead", is_primary=True, is_reachable=False)
     assert order_candidates([dead, lagging, crowded]) == ["near", "far"]
     assert order_candidates([dead]) == []
 
@@ -91,89 +91,98 @@
     # 24 statements wait for 3 slots; each reply takes 0.1 to 0.4 s, at times 0.5 s.
     crowded, usual = ReplyTime(), ReplyTime()
     for number in range(100):
-        crowded.note((0.1, 0.4, 0.25)[number % 3], number / 10)
-        usual.note(0.03, number / 10)
-    assert crowded.limit_silence(10.0) > 0.5
-    assert usual.limit_silence(10.0) == SHORTEST_LIMIT_S
+        crowded.record((0.1, 0.4, 0.25)[number % 3], number / 10)
+        usual.record(0.03, number / 10)
+    assert crowded.compute_silence_limit(10.0) > 0.5
+    assert usual.compute_silence_limit(10.0) == MINIMUM_SILENCE_LIMIT_S
     for _ in range(100):
-        crowded.note(5.0, 10.0)
-    assert crowded.limit_silence(10.0) == LONGEST_LIMIT_S
+        crowded.record(5.0, 10.0)
+    assert crowded.compute_silence_limit(10.0) == MAXIMUM_SILENCE_LIMIT_S
 
 
 def test_an_upstream_that_was_slow_is_tried_again_after_some_seconds():
     # A server hangs for six seconds; nobody reads there until it may be fast again.
     slow = ReplyTime()
     for number in range(20):
-        slow.note(1.2, number / 10)
+        slow.record(1.2, number / 10)
     near = {"latency_s": slow.estimate(2.5)}
     far = build_candidate("far", is_near=False)
     assert order_candidates([build_candidate("near", **near), far])[0] == "far"
     near = {"latency_s": slow.estimate(8.0)}
     assert order_candidates([build_candidate("near", **near), far])[0] == "near"
-    assert slow.limit_silence(10.0) == SHORTEST_LIMIT_S
+    assert slow.compute_silence_limit(10.0) == MINIMUM_SILENCE_LIMIT_S
 
 
 def test_a_report_of_leading_counts_once_and_proof_goes_first():
-    leadership = Leadership()
-    leadership.report("a", True, 1)
-    assert leadership.leader == "a"
-    leadership.confirm("a", 3)
-    leadership.report("a", True, 5)
-    leadership.deny("a")
-    assert leadership.leader is None
-    leadership.report("a", True, 6)
-    assert leadership.leader is None
-    leadership.report("b", True, 7)
-    assert leadership.leader == "b"
-    leadership.confirm("a", 2)
-    assert leadership.leader == "b"
+    primary_tracker = PrimaryTracker()
+    primary_tracker.report("a", True, 1)
+    assert primary_tracker.primary_id == "a"
+    primary_tracker.confirm("a", 3)
+    primary_tracker.report("a", True, 5)
+    primary_tracker.deny("a")
+    assert primary_tracker.primary_id is None
+    primary_tracker.report("a", True, 6)
+    assert primary_tracker.primary_id is None
+    primary_tracker.report("b", True, 7)
+    assert primary_tracker.primary_id == "b"
+    primary_tracker.confirm("a", 2)
+    assert primary_tracker.primary_id == "b"
 
 
 def test_an_upstream_that_leads_again_is_believed_again():
-    leadership = Leadership()
-    leadership.report("a", True, 1)
-    leadership.deny("a")
-    leadership.report("a", False, 2)
-    leadership.report("a", True, 3)
-    assert leadership.leader == "a"
+    primary_tracker = PrimaryTracker()
+    primary_tracker.report("a", True, 1)
+    primary_tracker.deny("a")
+    primary_tracker.report("a", False, 2)
+    primary_tracker.report("a", True, 3)
+    assert primary_tracker.primary_id == "a"
 
 
 def test_writers_wait_for_a_promotion_only_if_their_time_allows_it():
-    assert decide_gap(EXPECTED_GAP_S - 0.3, 0.8, EXPECTED_GAP_S).waits
-    refused = decide_gap(0.1, 0.8, EXPECTED_GAP_S)
+    assert decide_wait(EXPECTED_OUTAGE_S - 0.3, 0.8, EXPECTED_OUTAGE_S).waits
+    refused = decide_wait(0.1, 0.8, EXPECTED_OUTAGE_S)
     assert not refused.waits
-    assert refused.retry_after_s >= EXPECTED_GAP_S - 0.1
-    assert decide_gap(0.0, 0.8, EXPECTED_SEARCH_S).waits
+    assert refused.retry_after_s >= EXPECTED_OUTAGE_S - 0.1
+    assert decide_wait(0.0, 0.8, EXPECTED_DISCOVERY_S).waits
 
 
 def test_a_gap_that_outlasts_what_is_usual_holds_nobody_up():
     # Nothing can be promoted for 6 s: a primary crashed while the replica that holds
     # the newest commits is down too. Callers have a second for a statement.
     for lost_for_s in (2.0, 3.0, 6.0):
-        refused = decide_gap(lost_for_s, 1.0, EXPECTED_GAP_S)
+        refused = decide_wait(lost_for_s, 1.0, EXPECTED_OUTAGE_S)
         assert not refused.waits
         assert refused.retry_after_s >= lost_for_s / 2
 
 
 @pytest.mark.parametrize(
-    ("view", "verdict"),
+    ("view", "health"),
     [
-        (PrimaryView(True), Verdict.SERVING),
-        (PrimaryView(True, silent_for_s=0.9), Verdict.SILENT),
+        (PrimaryObservation(True), PrimaryHealth.SERVING),
+        (PrimaryObservation(True, silent_for_s=0.9), PrimaryHealth.SILENT),
         # A burst: replies of a primary with a full queue take up to a second.
-        (PrimaryView(True, silent_for_s=0.9, silence_limit_s=1.1), Verdict.SERVING),
-        (PrimaryView(True, silent_for_s=1.2, silence_limit_s=1.1), Verdict.SILENT),
-        (PrimaryView(True, refused_for_s=0.4), Verdict.REFUSING),
-        (PrimaryView(True, stalled_for_s=1.0), Verdict.STALLED),
-        (PrimaryView(True, is_leaving=True), Verdict.LEAVING),
-        (PrimaryView(True, missing_for_s=3.0), Verdict.LEAVING),
-        (PrimaryView(False, unknown_for_s=0.1), Verdict.SERVING),
-        (PrimaryView(False, unknown_for_s=1.0), Verdict.UNKNOWN),
-        (PrimaryView(True, silent_for_s=0.9, is_leaving=True), Verdict.SILENT),
+        (
+            PrimaryObservation(True, silent_for_s=0.9, silence_limit_s=1.1),
+            PrimaryHealth.SERVING,
+        ),
+        (
+            PrimaryObservation(True, silent_for_s=1.2, silence_limit_s=1.1),
+            PrimaryHealth.SILENT,
+        ),
+        (PrimaryObservation(True, refused_for_s=0.4), PrimaryHealth.REFUSING),
+        (PrimaryObservation(True, stalled_for_s=1.0), PrimaryHealth.STALLED),
+        (PrimaryObservation(True, is_leaving=True), PrimaryHealth.LEAVING),
+        (PrimaryObservation(True, missing_for_s=3.0), PrimaryHealth.LEAVING),
+        (PrimaryObservation(False, unknown_for_s=0.1), PrimaryHealth.SERVING),
+        (PrimaryObservation(False, unknown_for_s=1.0), PrimaryHealth.UNKNOWN),
+        (
+            PrimaryObservation(True, silent_for_s=0.9, is_leaving=True),
+            PrimaryHealth.SILENT,
+        ),
     ],
 )
-def test_verdicts_on_a_primary(view, verdict):
-    assert judge_primary(view) is verdict
+def test_verdicts_on_a_primary(view, health):
+    assert assess_primary(view) is health
 
 
 def test_the_shares_of_all_proxies_fit_the_upstreams_limit():
@@ -199,7 +208,7 @@
     replicas, primary_serves
 ):
     candidate = choose_candidate(replicas, primary_serves)
-    if candidate is None or not is_safe_successor(candidate, replicas, 1):
+    if candidate is None or not is_safe_candidate(candidate, replicas, 1):
         return
     states = {each.member_id: each for each in replicas}
     for other in replicas:
@@ -219,11 +228,11 @@
     # 29 proxies in 4 data centres, 43 connections; those of before linger.
     share = compute_share(43, 29)
     near, far = 8, 21
-    kept = near * compute_kept(share, True, False)
-    kept += far * compute_kept(share, False, False)
+    kept = near * compute_idle_limit(share, True, False)
+    kept += far * compute_idle_limit(share, False, False)
     assert kept + 29 * share <= 43
-    assert compute_kept(share, False, True) == share
-    assert is_returning(3.0, 43, 29)
-    assert not is_returning(4.0, 43, 29)
+    assert compute_idle_limit(share, False, True) == share
+    assert is_short_of_connections(3.0, 43, 29)
+    assert not is_short_of_connections(4.0, 43, 29)
     # 5 proxies hold 3 of 22 each; what is left is enough for one more each.
-    assert not is_returning(3.0, 22, 5)
+    assert not is_short_of_connections(3.0, 22, 5)
--- a/ebonyrack/placing/coverage.py
+++ b/ebonyrack/placing/position_history.py
@@ -8,7 +8,7 @@
 from ebonyrack.core.position import LogPosition
 
 # The stalest reads that routes allow are some seconds old.
-KEPT_S = 10.0
+HISTORY_S = 10.0
 
 
 @dataclass(frozen=True, slots=True)
@@ -16,18 +16,18 @@
     """A position with the time at which it was asked for.
 
     It was named by an upstream that provably led when it answered, so each commit
-    that was acknowledged before `asked_at_s` is at or before `position`.
+    that was acknowledged before `sent_at_s` is at or before `position`.
 
     Attributes:
-        asked_at_s: Time of sending of the question, on the boot clock.
+        sent_at_s: Time of sending of the question, on the boot clock.
         position: Position of the primary's log.
     """
 
-    asked_at_s: float
+    sent_at_s: float
     position: LogPosition
 
 
-class Coverage:
+class PositionHistory:
     """Samples of a group's primary, the oldest first.
 
     Attributes:
@@ -42,10 +42,10 @@
     def add(self, sample: PositionSample) -> None:
         """Keep a sample; questions that overlapped may come in any order."""
         samples = self.samples
-        if samples and sample.asked_at_s < samples[-1].asked_at_s:
+        if samples and sample.sent_at_s < samples[-1].sent_at_s:
             return
         samples.append(sample)
-        while samples[0].asked_at_s < sample.asked_at_s - KEPT_S:
+        while samples[0].sent_at_s < sample.sent_at_s - HISTORY_S:
             samples.popleft()
 
     def clear(self) -> None:
@@ -64,10 +64,10 @@
             The position, or None if no sample is young enough.
         """
         for sample in self.samples:
-            if sample.asked_at_s >= time_s:
+            if sample.sent_at_s >= time_s:
                 return sample.position
         return None
 
     def measure_age(self, now_s: float) -> float:
         """Return the age of the newest sample, in seconds."""
-        return now_s - self.samples[-1].asked_at_s if self.samples else float("inf")
+        return now_s - self.samples[-1].sent_at_s if self.samples else float("inf")
--- a/ebonyrack/placing/suspicion.py
+++ b/ebonyrack/placing/primary_health.py
@@ -15,10 +15,10 @@
 # A change of primary that others see takes this long to be heard of here.
 UNKNOWN_LIMIT_S = 0.6
 # An upstream whose entry has lapsed during an outage of the store is back by then.
-MISSING_LIMIT_S = 2.5
+MISSING_ENTRY_LIMIT_S = 2.5
 
 
-class Verdict(StrEnum):
+class PrimaryHealth(StrEnum):
     """What is to be done about the primary."""
 
     SERVING = "serving"
@@ -31,11 +31,11 @@
     @property
     def needs_promotion(self) -> bool:
         """Whether another upstream should lead."""
-        return self is not Verdict.SERVING
+        return self is not PrimaryHealth.SERVING
 
 
 @dataclass(frozen=True, slots=True)
-class PrimaryView:
+class PrimaryObservation:
     """What a proxy sees of the primary.
 
     Attributes:
@@ -59,17 +59,17 @@
     missing_for_s: float = 0.0
 
 
-def judge_primary(view: PrimaryView) -> Verdict:
+def assess_primary(view: PrimaryObservation) -> PrimaryHealth:
     """Return what is to be done about the primary."""
     if not view.is_known:
         lost = view.unknown_for_s > UNKNOWN_LIMIT_S
-        return Verdict.UNKNOWN if lost else Verdict.SERVING
+        return PrimaryHealth.UNKNOWN if lost else PrimaryHealth.SERVING
     if view.refused_for_s > REFUSAL_LIMIT_S:
-        return Verdict.REFUSING
+        return PrimaryHealth.REFUSING
     if view.silent_for_s > max(SILENCE_LIMIT_S, view.silence_limit_s):
-        return Verdict.SILENT
+        return PrimaryHealth.SILENT
     if view.stalled_for_s > STALL_LIMIT_S:
-        return Verdict.STALLED
-    if view.is_leaving or view.missing_for_s > MISSING_LIMIT_S:
-        return Verdict.LEAVING
-    return Verdict.SERVING
+        return PrimaryHealth.STALLED
+    if view.is_leaving or view.missing_for_s > MISSING_ENTRY_LIMIT_S:
+        return PrimaryHealth.LEAVING
+    return PrimaryHealth.SERVING
--- a/ebonyrack/placing/primary_gap.py
+++ b/ebonyrack/placing/primary_outage.py
@@ -13,23 +13,23 @@
 # From the finding that a primary is lost until writes are served again, before any
 # change was seen: pausing the replicas and the promotion itself, which takes the
 # platform up to a second.
-EXPECTED_GAP_S = 1.2
+EXPECTED_OUTAGE_S = 1.2
 # Weight of the newest gap that was seen.
-GAP_SMOOTHING = 0.5
+OUTAGE_SMOOTHING = 0.5
 # A primary that refuses as a replica has a successor, which answers a question.
-EXPECTED_SEARCH_S = 0.3
+EXPECTED_DISCOVERY_S = 0.3
 # A request is held only if this much of its time is left once the primary is back.
 SERVICE_ALLOWANCE_S = 0.1
 # A gap may end any moment, but a request needs this long to be served after it.
-SHORTEST_REST_S = 0.1
+MINIMUM_REMAINING_S = 0.1
 # What is left of a gap that has outlasted what is usual, as a share of its length.
-REST_SHARE = 0.5
+REMAINING_SHARE = 0.5
 # Refused callers come back spread over this time after the expected end of the gap.
-RETURN_SPREAD_S = 0.3
+RETRY_SPREAD_S = 0.3
 
 
 @dataclass(frozen=True, slots=True)
-class GapDecision:
+class OutageDecision:
     """What becomes of a request that needs a primary.
 
     Attributes:
@@ -41,7 +41,7 @@
     retry_after_s: float
 
 
-class GapEstimate:
+class OutageEstimate:
     """How long a group is without a primary once the loss was found.
 
     Attributes:
@@ -51,14 +51,14 @@
     __slots__ = ("expected_s",)
 
     def __init__(self) -> None:
-        self.expected_s = EXPECTED_GAP_S
+        self.expected_s = EXPECTED_OUTAGE_S
 
-    def note_gap(self, gap_s: float) -> None:
+    def record_outage(self, gap_s: float) -> None:
         """Take a gap that has ended into the average."""
-        self.expected_s += GAP_SMOOTHING * (gap_s - self.expected_s)
+        self.expected_s += OUTAGE_SMOOTHING * (gap_s - self.expected_s)
 
 
-def expect_rest(lost_for_s: float, expected_gap_s: float) -> float:
+def estimate_remaining_outage(lost_for_s: float, expected_outage_s: float) -> float:
     """Return how much longer a gap should last, in seconds.
 
     One that has outlasted what is usual is of another kind, such as a replica that
@@ -66,26 +66,26 @@
 
     Args:
         lost_for_s: Seconds since the loss was found.
-        expected_gap_s: Seconds that such a gap usually lasts.
+        expected_outage_s: Seconds that such a gap usually lasts.
     """
-    if lost_for_s < expected_gap_s:
-        return max(SHORTEST_REST_S, expected_gap_s - lost_for_s)
-    return max(SHORTEST_REST_S, REST_SHARE * lost_for_s)
+    if lost_for_s < expected_outage_s:
+        return max(MINIMUM_REMAINING_S, expected_outage_s - lost_for_s)
+    return max(MINIMUM_REMAINING_S, REMAINING_SHARE * lost_for_s)
 
 
-def decide_gap(
-    lost_for_s: float, time_left_s: float, expected_gap_s: float
-) -> GapDecision:
+def decide_wait(
+    lost_for_s: float, remaining_s: float, expected_outage_s: float
+) -> OutageDecision:
     """Decide on a request that needs a primary while there is none.
 
     Args:
         lost_for_s: Seconds since the loss was found.
-        time_left_s: Seconds until the request's deadline.
-        expected_gap_s: Seconds that such a gap usually lasts.
+        remaining_s: Seconds until the request's deadline.
+        expected_outage_s: Seconds that such a gap usually lasts.
 
     Returns:
         The decision.
     """
-    expected_s = expect_rest(lost_for_s, expected_gap_s)
-    waits = expected_s + SERVICE_ALLOWANCE_S <= time_left_s
-    return GapDecision(waits, expected_s + random.uniform(0, RETURN_SPREAD_S))
+    expected_s = estimate_remaining_outage(lost_for_s, expected_outage_s)
+    waits = expected_s + SERVICE_ALLOWANCE_S <= remaining_s
+    return OutageDecision(waits, expected_s + random.uniform(0, RETRY_SPREAD_S))
--- a/ebonyrack/placing/leadership.py
+++ b/ebonyrack/placing/primary_tracker.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 
-class Leadership:
+class PrimaryTracker:
     """Weighs what upstreams report against what their answers prove.
 
     A report of leading counts from the change of an upstream's own view; later
@@ -27,7 +27,7 @@
         self.confirmed_term = 0
 
     @property
-    def leader(self) -> str | None:
+    def primary_id(self) -> str | None:
         """Identity of the upstream that is taken for the primary, or None."""
         if self.confirmed is not None:
             return self.confirmed
@@ -38,15 +38,15 @@
         }
         return max(claims, key=claims.__getitem__) if claims else None
 
-    def report(self, member_id: str, leads: bool, revision: int) -> None:
+    def report(self, member_id: str, is_primary: bool, revision: int) -> None:
         """Take what an upstream reports of itself.
 
         Args:
             member_id: The upstream.
-            leads: Whether it sees itself as the primary.
+            is_primary: Whether it sees itself as the primary.
             revision: Revision of the store at which it said so.
         """
-        if not leads:
+        if not is_primary:
             self.claims.pop(member_id, None)
             return
         if member_id in self.claims:
--- a/ebonyrack/placing/successor.py
+++ b/ebonyrack/placing/promotion_candidate.py
@@ -52,7 +52,7 @@
     return best.member_id
 
 
-def is_safe_successor(
+def is_safe_candidate(
     candidate: str, replicas: list[ReplicaState], acknowledging_replicas: int
 ) -> bool:
     """Return whether an upstream holds every commit that was acknowledged.
--- a/ebonyrack/placing/read_order.py
+++ b/ebonyrack/placing/read_order.py
@@ -16,7 +16,7 @@
 # What a read at the primary costs those who need it, in seconds.
 PRIMARY_COST_S = 0.01
 # Sorts behind all that serve: one that turned work away or lacks the position.
-AVOIDED_COST_S = 1.0
+DEPRIORITIZED_COST_S = 1.0
 
 
 @dataclass(frozen=True, slots=True)
@@ -26,20 +26,20 @@
     Attributes:
         member_id: Identity.
         is_near: Whether it is in the proxy's own data centre.
-        leads: Whether it is the primary.
+        is_primary: Whether it is the primary.
         is_reachable: Whether it may be expected to answer.
-        is_avoided: Whether it turned work away or lacked the position just now.
-        is_spared: Whether the read gives way to others there, as it is crowded.
+        is_deprioritized: Whether it turned work away or lacked the position just now.
+        is_shed: Whether the read gives way to others there, as it is crowded.
         latency_s: Its usual reply time, in seconds.
         expected_wait_s: How long it would wait for a connection, in seconds.
     """
 
     member_id: str
     is_near: bool
-    leads: bool
+    is_primary: bool
     is_reachable: bool
-    is_avoided: bool
-    is_spared: bool
+    is_deprioritized: bool
+    is_shed: bool
     latency_s: float
     expected_wait_s: float
 
@@ -49,10 +49,10 @@
     cost_s = candidate.latency_s + candidate.expected_wait_s
     if not candidate.is_near:
         cost_s += REMOTE_COST_S
-    if candidate.leads:
+    if candidate.is_primary:
         cost_s += PRIMARY_COST_S
-    if candidate.is_avoided:
-        cost_s += AVOIDED_COST_S
+    if candidate.is_deprioritized:
+        cost_s += DEPRIORITIZED_COST_S
     return cost_s
 
 
@@ -63,6 +63,6 @@
     for its answer would have had time to be served by another proxy. So is one that is
     crowded, for reads that give way.
     """
-    usable = [each for each in candidates if each.is_reachable and not each.is_spared]
+    usable = [each for each in candidates if each.is_reachable and not each.is_shed]
     ordered = sorted(usable, key=lambda each: (estimate_cost(each), each.member_id))
     return [candidate.member_id for candidate in ordered]
--- a/ebonyrack/placing/shedding.py
+++ b/ebonyrack/placing/shedding.py
@@ -14,13 +14,13 @@
 
 # Expected time to an answer at which the first reads give way, as a share of the
 # strictest target; what is left covers the way and what the estimate misses.
-FIRST_SHARE = 0.4
+SHEDDING_START_SHARE = 0.4
 # Between there and this much more, all reads of one class have given way.
-CLASS_SHARE = 0.3
+CLASS_STEP_SHARE = 0.3
 # Reads count for the demand as long as this, in seconds, weighted by their age; and
 # classes that have less than this share of it don't count.
-DEMAND_S = 5.0
-LEAST_SHARE = 0.05
+DEMAND_DECAY_S = 5.0
+MINIMUM_DEMAND_SHARE = 0.05
 
 
 @dataclass(frozen=True, slots=True, order=True)
@@ -36,30 +36,30 @@
     target_s: float
 
 
-class Demand:
+class ReadDemand:
     """How often the classes of reads ask for a group.
 
     Attributes:
         counts: Reads of each class, which fade exponentially.
-        counted_at_s: Time up to which they have faded.
+        decayed_at_s: Time up to which they have faded.
     """
 
-    __slots__ = ("counts", "counted_at_s")
+    __slots__ = ("counts", "decayed_at_s")
 
     def __init__(self) -> None:
         self.counts: dict[WorkClass, float] = {}
-        self.counted_at_s = 0.0
+        self.decayed_at_s = 0.0
 
-    def note(self, work_class: WorkClass, now: float) -> None:
+    def record(self, work_class: WorkClass, now: float) -> None:
         """Count a read of a class."""
-        faded = math.exp(min(0.0, self.counted_at_s - now) / DEMAND_S)
-        self.counted_at_s = now
+        faded = math.exp(min(0.0, self.decayed_at_s - now) / DEMAND_DECAY_S)
+        self.decayed_at_s = now
         self.counts = {each: count * faded for each, count in self.counts.items()}
         self.counts[work_class] = self.counts.get(work_class, 0.0) + 1.0
 
     def list_active(self) -> list[WorkClass]:
         """Return the classes that are in use, the most important one first."""
-        least = LEAST_SHARE * sum(self.counts.values())
+        least = MINIMUM_DEMAND_SHARE * sum(self.counts.values())
         return sorted(each for each, count in self.counts.items() if count >= least)
 
 
@@ -78,5 +78,5 @@
         return 0.0
     later_classes = len(active) - 1 - active.index(work_class)
     strictest_s = min(each.target_s for each in active)
-    first = FIRST_SHARE + CLASS_SHARE * later_classes
-    return min(1.0, max(0.0, (answer_s / strictest_s - first) / CLASS_SHARE))
+    first = SHEDDING_START_SHARE + CLASS_STEP_SHARE * later_classes
+    return min(1.0, max(0.0, (answer_s / strictest_s - first) / CLASS_STEP_SHARE))
--- a/ebonyrack/placing/shedding_test.py
+++ b/ebonyrack/placing/shedding_test.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 
 from ebonyrack.placing.reply_time import ReplyTime
-from ebonyrack.placing.shedding import Demand
+from ebonyrack.placing.shedding import ReadDemand
 from ebonyrack.placing.shedding import WorkClass
 from ebonyrack.placing.shedding import compute_shed_share
 
@@ -36,7 +36,7 @@
     random_ = random.Random(seed)
     proxies = [Proxy(0.0, ReplyTime(), []) for _ in range(PROXIES)]
     slots = [0.0] * SLOTS
-    demand = Demand()
+    demand = ReadDemand()
     asked, in_time = Counter(), Counter()
     now = 0.0
     while now < DAY_S:
@@ -44,8 +44,8 @@
         work_class = random_.choices(CLASSES, SHARES)[0]
         proxy = random_.choice(proxies)
         while proxy.replies and proxy.replies[0][0] <= now:
-            proxy.reply_time.note(heapq.heappop(proxy.replies)[1], now)
-        demand.note(work_class, now)
+            proxy.reply_time.record(heapq.heappop(proxy.replies)[1], now)
+        demand.record(work_class, now)
         is_counted = now > WARM_UP_S
         asked[work_class] += is_counted
         if sheds:
@@ -103,10 +103,10 @@
 
 
 def test_routes_that_nobody_uses_don_t_count():
-    demand = Demand()
+    demand = ReadDemand()
     for number in range(50):
-        demand.note(VIEW if number % 2 else CONFIRM, number / 10)
-    demand.note(RESERVE, 5.0)
+        demand.record(VIEW if number % 2 else CONFIRM, number / 10)
+    demand.record(RESERVE, 5.0)
     assert demand.list_active() == [CONFIRM, VIEW]
-    demand.note(RESERVE, 60.0)
+    demand.record(RESERVE, 60.0)
     assert demand.list_active() == [RESERVE]
--- a/ebonyrack/platform/assembly.py
+++ b/ebonyrack/platform/assembly.py
@@ -4,7 +4,7 @@
 
 from contextlib import AsyncExitStack
 
-from ebonyrack.core.owner import Owner
+from ebonyrack.core.component import Component
 from ebonyrack.core.route_settings import RouteProxySettings
 from ebonyrack.entry.route_proxy import RouteProxy
 from ebonyrack.entry.route_proxy import Surroundings
@@ -22,7 +22,7 @@
 PROTOCOL = "lines"
 
 
-class PlatformProxy(Owner):
+class PlatformProxy(Component):
     """A proxy on the platform: an async context manager.
 
     Attributes:
--- a/ebonyrack/platform/kv_store.py
+++ b/ebonyrack/platform/kv_store.py
@@ -14,7 +14,7 @@
 
 from ebonyrack.core import metrics
 from ebonyrack.core.address import Address
-from ebonyrack.core.owner import Owner
+from ebonyrack.core.component import Component
 from ebonyrack.store.http_client import PROBING
 from ebonyrack.store.http_client import HttpAnswer
 from ebonyrack.store.http_client import HttpCall
@@ -35,7 +35,7 @@
 CONDITION_FAILED = 412
 
 
-class KvStore(Owner):
+class KvStore(Component):
     """Client of the store: an async context manager.
 
     Attributes:
--- a/ebonyrack/platform/kv_store_test.py
+++ b/ebonyrack/platform/kv_store_test.py
@@ -5,8 +5,8 @@
 from result import Ok
 
 from ebonyrack.platform.kv_store import KvStore
-from ebonyrack.promotion.duty import give_back
-from ebonyrack.promotion.duty import take_duty
+from ebonyrack.promotion.lease import acquire_promotion_lease
+from ebonyrack.promotion.lease import release_promotion_lease
 from ebonyrack.standins.kv_service import KvService
 from ebonyrack.store.leasing_store import StoreWrite
 from ebonyrack.store.store_answer import StoreErrorKind
@@ -103,26 +103,26 @@
 
 
 async def test_one_proxy_at_a_time_has_the_duty_and_tokens_grow(service, store):
-    first = await take_duty(store, "g", "proxy-1")
-    assert await take_duty(store, "g", "proxy-2") is None
+    first = await acquire_promotion_lease(store, "g", "proxy-1")
+    assert await acquire_promotion_lease(store, "g", "proxy-2") is None
     assert first.is_held
-    await give_back(store, first)
-    second = await take_duty(store, "g", "proxy-2")
+    await release_promotion_lease(store, first)
+    second = await acquire_promotion_lease(store, "g", "proxy-2")
     assert second.fencing_token > first.fencing_token
 
 
 async def test_the_duty_is_held_although_the_answer_was_lost(service, store):
     service.faults.lose_answers = 1
-    duty = await take_duty(store, "g", "proxy-1")
-    assert duty.fencing_token == service.items["ebonyrack/promotion/g"].revision
+    lease = await acquire_promotion_lease(store, "g", "proxy-1")
+    assert lease.fencing_token == service.items["ebonyrack/promotion/g"].revision
 
 
 async def test_the_duty_of_a_holder_that_died_ends_with_its_lease(
     service, store, monkeypatch
 ):
-    monkeypatch.setattr("ebonyrack.promotion.duty.LEASE_S", 0.2)
-    monkeypatch.setattr("ebonyrack.promotion.duty.HOLD_S", 0.1)
-    first = await take_duty(store, "g", "proxy-1")
+    monkeypatch.setattr("ebonyrack.promotion.lease.LEASE_TTL_S", 0.2)
+    monkeypatch.setattr("ebonyrack.promotion.lease.HOLD_LIMIT_S", 0.1)
+    first = await acquire_promotion_lease(store, "g", "proxy-1")
     await asyncio.sleep(0.4)
     assert not first.is_held
-    assert await take_duty(store, "g", "proxy-2") is not None
+    assert await acquire_promotion_lease(store, "g", "proxy-2") is not None
--- a/ebonyrack/platform/member_entries.py
+++ b/ebonyrack/platform/member_entries.py
@@ -30,9 +30,9 @@
     try:
         body: Any = json.loads(item.value)
         # Upstreams of older versions say nothing of their start.
-        born_ms = body.get("born", 0)
+        started_at_ms = body.get("born", 0)
         slots = body["slots"]
-        if type(born_ms) is not int or type(slots) is not int:
+        if type(started_at_ms) is not int or type(slots) is not int:
             return Err("born and slots must be whole numbers")
         return Ok(
             MemberEntry(
@@ -43,7 +43,7 @@
                 slots=slots,
                 is_leaving=PHASES[read_text(body, "phase")],
                 reports_primary=ROLES[read_text(body, "dbRole")],
-                born_ms=born_ms,
+                started_at_ms=started_at_ms,
                 revision=item.revision,
             )
         )
--- a/ebonyrack/platform/promotion_calls.py
+++ b/ebonyrack/platform/promotion_calls.py
@@ -9,7 +9,7 @@
 from result import Result
 
 from ebonyrack.core.address import Address
-from ebonyrack.core.owner import Owner
+from ebonyrack.core.component import Component
 from ebonyrack.promotion.order import OrderOutcome
 from ebonyrack.promotion.order import PromotionOrder
 from ebonyrack.store.http_client import PROBING
@@ -23,7 +23,7 @@
 REFUSED_BY_TOKEN = 409
 
 
-class PromotionCalls(Owner):
+class PromotionCalls(Component):
     """Client of the promotion calls: an async context manager.
 
     Attributes:
--- a/ebonyrack/platform/ready_probe.py
+++ b/ebonyrack/platform/ready_probe.py
@@ -9,7 +9,7 @@
 from loguru import logger
 
 from ebonyrack.core.address import Address
-from ebonyrack.core.owner import Owner
+from ebonyrack.core.component import Component
 
 READY_TARGET = b"/ready"
 READ_BYTES = 4096
@@ -17,7 +17,7 @@
 IDLE_S = 30.0
 
 
-class ReadyProbe(Owner):
+class ReadyProbe(Component):
     """A small HTTP server.
 
     Attributes:
--- a/ebonyrack/platform/settings_file.py
+++ b/ebonyrack/platform/settings_file.py
@@ -10,13 +10,13 @@
 from result import Result
 
 from ebonyrack.core.address import parse_address
-from ebonyrack.core.fault import Fault
+from ebonyrack.core.config_error import ConfigError
 from ebonyrack.core.route_settings import RouteProxySettings
 
 # The platform names the file in this variable of the environment.
 PATH_VARIABLE = "EBONYRACK_NODE_FILE"
 
-Faults = tuple[Fault, ...]
+Faults = tuple[ConfigError, ...]
 
 
 def read_seconds(text: str) -> float:
@@ -66,21 +66,23 @@
         The settings, or every fault.
     """
     values: dict[str, str] = {}
-    faults: list[Fault] = []
+    faults: list[ConfigError] = []
     for number, line in enumerate(text.splitlines(), start=1):
         key, equals, value = line.partition("=")
         if line.strip() and not equals:
-            faults.append(Fault(source, "", f"line {number}", "must be key=value"))
+            faults.append(
+                ConfigError(source, "", f"line {number}", "must be key=value")
+            )
         values[key.strip()] = value.strip()
     found: dict[str, Any] = {}
     for attribute, key, read in FIELDS:
         if key not in values:
-            faults.append(Fault(source, "", key, "is missing"))
+            faults.append(ConfigError(source, "", key, "is missing"))
             continue
         try:
             found[attribute] = read(values[key])
         except ValueError as error:
-            faults.append(Fault(source, "", key, str(error)))
+            faults.append(ConfigError(source, "", key, str(error)))
     if faults:
         return Err(tuple(faults))
     return Ok(RouteProxySettings(**found))
--- a/ebonyrack/platform/upstream_codec.py
+++ b/ebonyrack/platform/upstream_codec.py
@@ -74,8 +74,8 @@
     def encode_request(self, request: Request) -> bytes:
         """Return a statement."""
         text = RENDERERS[request.kind](request)
-        if request.after is not None:
-            after = request.after
+        if request.minimum_position is not None:
+            after = request.minimum_position
             text = b"AFTER %d.%d %b" % (after.term, after.offset, text)
         return b"QUERY %b %b\r\n" % (request.request_id or NOTHING, text)
 
@@ -136,10 +136,10 @@
             role, term, received, held, lag_ms, busy, connections = words
             return Ok(
                 UpstreamStatus(
-                    leads=role == b"primary",
+                    is_primary=role == b"primary",
                     term=int(term),
                     received=parse_dotted(received),
-                    held_term=int(held),
+                    paused_term=int(held),
                     lag_s=float(lag_ms) / MS_PER_S,
                     busy_slots=int(busy),
                     connections=int(connections),
--- a/ebonyrack/platform/upstream_codec_test.py
+++ b/ebonyrack/platform/upstream_codec_test.py
@@ -12,10 +12,10 @@
 from ebonyrack.requests.reply import RejectionKind
 from ebonyrack.requests.reply import Reply
 from ebonyrack.requests.reply import TransactionState
-from ebonyrack.requests.request import OWN_BEGIN
+from ebonyrack.requests.request import BEGIN_REQUEST
 from ebonyrack.requests.request import Request
 from ebonyrack.requests.request import RequestKind
-from ebonyrack.requests.request import build_pause
+from ebonyrack.requests.request import build_pause_request
 
 CODEC = LineUpstreamCodec()
 
@@ -73,15 +73,15 @@
     assert CODEC.encode_request(read) == b"QUERY 5c READ 1a4\r\n"
     placed = read.with_position(LogPosition(3, 1207))
     assert CODEC.encode_request(placed) == b"QUERY 5c AFTER 3.1207 READ 1a4\r\n"
-    assert CODEC.encode_request(OWN_BEGIN) == b"QUERY - BEGIN\r\n"
-    assert CODEC.encode_request(build_pause(4)) == b"QUERY - PAUSE 4\r\n"
+    assert CODEC.encode_request(BEGIN_REQUEST) == b"QUERY - BEGIN\r\n"
+    assert CODEC.encode_request(build_pause_request(4)) == b"QUERY - PAUSE 4\r\n"
     assert CODEC.encode_start("g", "i-1") == b"STARTUP g ebonyrack i-1\r\n"
 
 
 def test_status():
     reply = Reply(rows=[b"replica 3 3.1209 0 12 2 17"])
     status = CODEC.read_status(reply).ok_value
-    assert not status.leads
+    assert not status.is_primary
     assert (status.term, status.received) == (3, LogPosition(3, 1209))
     assert (status.lag_s, status.busy_slots, status.connections) == (0.012, 2, 17)
 
--- a/ebonyrack/pooling/pool.py
+++ b/ebonyrack/pooling/pool.py
@@ -10,9 +10,9 @@
 
 from ebonyrack.core.address import Address
 from ebonyrack.core.clock import now_s
+from ebonyrack.core.component import Component
 from ebonyrack.core.errors import ErrorKind
 from ebonyrack.core.errors import RequestError
-from ebonyrack.core.owner import Owner
 from ebonyrack.pooling.admission import AdmissionQueue
 from ebonyrack.pooling.admission import Waiter
 from ebonyrack.pooling.connection_opener import OPEN_TIMEOUT_S
@@ -29,7 +29,7 @@
 Settings = TypeVar("Settings", bound=QueueSettings)
 
 
-class Pool(PoolPlaces[Connection], Owner, Generic[Connection, Settings]):
+class Pool(PoolPlaces[Connection], Component, Generic[Connection, Settings]):
     """Connections to one upstream, each used by one caller at a time.
 
     Whoever is granted a place holds it until `release`.
--- a/ebonyrack/promotion/order.py
+++ b/ebonyrack/promotion/order.py
@@ -38,7 +38,7 @@
     UNANSWERED = "unanswered"
 
 
-class OrderDesk(Protocol):
+class PromotionOrderClient(Protocol):
     """Takes orders."""
 
     async def promote(self, order: PromotionOrder) -> Result[OrderOutcome, str]:
--- a/ebonyrack/promotion/contact.py
+++ b/ebonyrack/promotion/participant.py
@@ -14,27 +14,27 @@
 from ebonyrack.members.link import ReplyTimeoutError
 from ebonyrack.members.link import UpstreamLink
 from ebonyrack.members.member import Member
-from ebonyrack.placing.coverage import PositionSample
+from ebonyrack.placing.position_history import PositionSample
 from ebonyrack.pooling.upstream_lost import UpstreamLostError
 from ebonyrack.requests.reply import RejectionKind
 from ebonyrack.requests.reply import UpstreamStatus
-from ebonyrack.requests.request import OWN_RESUME
-from ebonyrack.requests.request import OWN_STATUS
+from ebonyrack.requests.request import RESUME_REQUEST
+from ebonyrack.requests.request import STATUS_REQUEST
 from ebonyrack.requests.request import Request
-from ebonyrack.requests.request import build_pause
+from ebonyrack.requests.request import build_pause_request
 
 # One question to an upstream, a connection included.
-QUESTION_TIMEOUT_S = 0.5
+REQUEST_TIMEOUT_S = 0.5
 # An idle connection of the pool is taken if one comes free in this time.
 POOL_WAIT_S = 0.03
 # Name under which a promotion waits for a connection.
-PROMOTER = "ebonyrack promotion"
+POOL_CALLER_NAME = "ebonyrack promotion"
 # An upstream whose slots are all taken is asked again after this.
 BUSY_PAUSE_S = 0.03
 
 
 @dataclass(slots=True)
-class Contact:
+class PromotionParticipant:
     """A connection for one change of primary, and what the upstream said on it.
 
     The connection stays open from the pause to the order: while it does, the
@@ -56,7 +56,7 @@
     paused_term: int = 0
     is_pooled: bool = False
 
-    async def open(self) -> None:
+    async def connect(self) -> None:
         """Take a connection and ask for the status; failures leave both empty.
 
         One of the pool is preferred, as the upstream may have none to spare.
@@ -64,41 +64,41 @@
         self.close()
         give_up_s = now_s() + POOL_WAIT_S
         try:
-            self.link = await self.member.pool.acquire(PROMOTER, give_up_s)
+            self.link = await self.member.pool.acquire(POOL_CALLER_NAME, give_up_s)
             self.is_pooled = True
         except (RequestError, UpstreamLostError) as error:
             logger.bind(upstream=self.member.member_id, reason=str(error)).debug(
                 "promotion_opens_connection"
             )
-            await self.open_own(QUESTION_TIMEOUT_S)
+            await self.connect_directly(REQUEST_TIMEOUT_S)
             return
-        await self.ask(OWN_STATUS)
+        await self.request_status(STATUS_REQUEST)
 
-    async def open_own(self, timeout_s: float) -> None:
+    async def connect_directly(self, timeout_s: float) -> None:
         """Open a connection outside the pool and ask for the status."""
         try:
             self.link = await self.member.open_link(timeout_s)
         except UpstreamLostError as error:
-            self.log_silent(error.reason)
+            self.log_unanswered(error.reason)
             return
-        await self.ask(OWN_STATUS)
+        await self.request_status(STATUS_REQUEST)
 
-    async def ask(self, request: Request) -> UpstreamStatus | None:
+    async def request_status(self, request: Request) -> UpstreamStatus | None:
         """Send an order whose answer is the status; return that, None without one."""
         self.status = None
-        give_up_s = boot_time_s() + QUESTION_TIMEOUT_S
+        give_up_s = boot_time_s() + REQUEST_TIMEOUT_S
         while self.link is not None and self.link.is_open:
             try:
-                (reply,) = await self.link.exchange([request], QUESTION_TIMEOUT_S)
+                (reply,) = await self.link.exchange([request], REQUEST_TIMEOUT_S)
             except (UpstreamLostError, ReplyTimeoutError) as error:
-                self.log_silent(repr(error))
+                self.log_unanswered(repr(error))
                 return None
             if reply.rejection is RejectionKind.BUSY and boot_time_s() < give_up_s:
                 await asyncio.sleep(BUSY_PAUSE_S)
                 continue
             found = self.link.codec.read_status(reply)
             if isinstance(found, Err):
-                self.log_silent(found.err_value)
+                self.log_unanswered(found.err_value)
             else:
                 self.status = found.ok_value
             return self.status
@@ -107,7 +107,9 @@
     async def pause(self, term: int) -> None:
         """Stop the upstream from receiving in the terms so far."""
         self.paused_term = term
-        self.is_paused = await self.ask(build_pause(term)) is not None
+        self.is_paused = (
+            await self.request_status(build_pause_request(term)) is not None
+        )
 
     async def resume(self) -> None:
         """Let the upstream receive again, unless another proxy has paused it since.
@@ -116,11 +118,11 @@
         """
         if not self.is_paused:
             return
-        status = await self.ask(OWN_STATUS)
-        if status is not None and status.held_term == self.paused_term:
-            await self.ask(OWN_RESUME)
+        status = await self.request_status(STATUS_REQUEST)
+        if status is not None and status.paused_term == self.paused_term:
+            await self.request_status(RESUME_REQUEST)
 
-    async def prove_lead(self) -> PositionSample | None:
+    async def prove_primary(self) -> PositionSample | None:
         """Ask whether the upstream leads now, by a transaction that only then opens.
 
         Returns:
@@ -130,13 +132,13 @@
         if self.link is None or not self.link.is_open:
             return None
         try:
-            began, asked_at_s = await self.link.ask_lead(QUESTION_TIMEOUT_S)
+            began, sent_at_s = await self.link.probe_primary(REQUEST_TIMEOUT_S)
         except (UpstreamLostError, ReplyTimeoutError) as error:
-            self.log_silent(repr(error))
+            self.log_unanswered(repr(error))
             return None
         if began.rejection is not None or began.position is None:
             return None
-        return PositionSample(asked_at_s, began.position)
+        return PositionSample(sent_at_s, began.position)
 
     def close(self) -> None:
         """Give the connection back, or drop it."""
@@ -149,7 +151,7 @@
         else:
             link.close()
 
-    def log_silent(self, reason: str) -> None:
+    def log_unanswered(self, reason: str) -> None:
         """Log an upstream that did not answer."""
         logger.bind(
             group=self.member.entry.group,
--- a/ebonyrack/requests/reply.py
+++ b/ebonyrack/requests/reply.py
@@ -75,19 +75,19 @@
     """What an upstream says of its part in the group.
 
     Attributes:
-        leads: Whether it sees itself as the primary.
+        is_primary: Whether it sees itself as the primary.
         term: Newest term that it knows.
         received: Position up to which it has received the log.
-        held_term: Term below which it receives nothing; 0 without a pause.
+        paused_term: Term below which it receives nothing; 0 without a pause.
         lag_s: How far its applied position is behind, in seconds.
         busy_slots: Slots in use.
         connections: Open connections of all proxies.
     """
 
-    leads: bool
+    is_primary: bool
     term: int
     received: LogPosition
-    held_term: int
+    paused_term: int
     lag_s: float
     busy_slots: int
     connections: int
--- a/ebonyrack/requests/request.py
+++ b/ebonyrack/requests/request.py
@@ -40,7 +40,7 @@
         name: Name of a session value or prepared statement.
         argument: Value, shape, arguments or term, as the kind needs it.
         writes: Whether a prepared statement writes.
-        after: Position that the upstream's log must hold, or None.
+        minimum_position: Position that the upstream's log must hold, or None.
     """
 
     kind: RequestKind
@@ -49,7 +49,7 @@
     name: bytes = b""
     argument: bytes = b""
     writes: bool = False
-    after: LogPosition | None = None
+    minimum_position: LogPosition | None = None
 
     @property
     def log_id(self) -> str:
@@ -58,16 +58,16 @@
 
     def with_position(self, position: LogPosition | None) -> Request:
         """Return the same statement with a position that the log must hold."""
-        return replace(self, after=position)
+        return replace(self, minimum_position=position)
 
 
-OWN_BEGIN = Request(RequestKind.BEGIN)
-OWN_ROLLBACK = Request(RequestKind.ROLLBACK)
-OWN_DISCARD = Request(RequestKind.DISCARD)
-OWN_STATUS = Request(RequestKind.STATUS)
-OWN_RESUME = Request(RequestKind.RESUME)
+BEGIN_REQUEST = Request(RequestKind.BEGIN)
+ROLLBACK_REQUEST = Request(RequestKind.ROLLBACK)
+DISCARD_REQUEST = Request(RequestKind.DISCARD)
+STATUS_REQUEST = Request(RequestKind.STATUS)
+RESUME_REQUEST = Request(RequestKind.RESUME)
 
 
-def build_pause(term: int) -> Request:
+def build_pause_request(term: int) -> Request:
     """Build the order to a replica to receive nothing of terms below one."""
     return Request(RequestKind.PAUSE, argument=str(term).encode())
--- a/ebonyrack/routes/state.py
+++ b/ebonyrack/routes/state.py
@@ -30,7 +30,7 @@
         """Call a function with each new version."""
         self.callbacks.append(callback)
 
-    def offer(self, table: RouteTable, source: str) -> bool:
+    def apply_if_newer(self, table: RouteTable, source: str) -> bool:
         """Put a version in force if it is newer than the present one.
 
         Args:
--- a/ebonyrack/routing/conftest.py
+++ b/ebonyrack/routing/conftest.py
@@ -12,7 +12,7 @@
 from ebonyrack.config.sections import GroupSection
 from ebonyrack.core.errors import ErrorKind
 from ebonyrack.core.errors import RequestError
-from ebonyrack.core.position import START
+from ebonyrack.core.position import LOG_START
 from ebonyrack.core.position import LogPosition
 from ebonyrack.upstreams.connection import UpstreamLostError
 from ebonyrack.upstreams.status import Role
@@ -61,7 +61,7 @@
         return asyncio.create_task(self.poll())
 
     async def poll(
-        self, position: LogPosition = START, wait_s: float = 0.0
+        self, position: LogPosition = LOG_START, wait_s: float = 0.0
     ) -> UpstreamStatus:
         """Answer the actual status, at once or when a position is applied."""
         await asyncio.sleep(0)
--- a/ebonyrack/routing/read_index.py
+++ b/ebonyrack/routing/read_index.py
@@ -8,7 +8,7 @@
 from typing import TYPE_CHECKING
 
 from ebonyrack.core.clock import now_s
-from ebonyrack.core.owner import Owner
+from ebonyrack.core.component import Component
 from ebonyrack.core.position import LogPosition
 from ebonyrack.core.tasks import end_tasks
 from ebonyrack.routing.read_round import PollRound
@@ -34,7 +34,7 @@
     position: LogPosition
 
 
-class ReadIndex(Owner):
+class ReadIndex(Component):
     """Read index of one group, shared by the reads that wait for it.
 
     An acknowledged write is held by a majority of the upstreams. Any majority that
--- a/ebonyrack/routing/read_machine_test.py
+++ b/ebonyrack/routing/read_machine_test.py
@@ -14,7 +14,7 @@
 
 from ebonyrack.core.clock import now_s
 from ebonyrack.core.errors import RequestError
-from ebonyrack.core.position import START
+from ebonyrack.core.position import LOG_START
 from ebonyrack.core.position import parse_position
 from ebonyrack.routing.read_index import ReadIndex
 from ebonyrack.routing.read_overlap import Overlap
@@ -48,7 +48,7 @@
 
     def __init__(self):
         self.written = set()
-        self.token = START
+        self.token = LOG_START
 
 
 class ReadMachine(RuleBasedStateMachine):
@@ -126,7 +126,7 @@
             try:
                 answer = await connection.query("SELECT request FROM bookings", 1.0)
                 is_standby = connection.is_standby
-                status = await connection.query(CONTRACT.build_poll(START, 0), 1.0)
+                status = await connection.query(CONTRACT.build_poll(LOG_START, 0), 1.0)
             finally:
                 pool.release(connection)
             if placement.hold_until_confirmed:
@@ -154,7 +154,7 @@
             connection = await pool.acquire("tests", deadline_s)
             try:
                 statements = (
-                    CONTRACT.build_poll(START, 0),
+                    CONTRACT.build_poll(LOG_START, 0),
                     "SELECT request FROM bookings",
                 )
                 connection.send(b"".join(Query(sql).to_wire() for sql in statements))
--- a/ebonyrack/routing/read_overlap_test.py
+++ b/ebonyrack/routing/read_overlap_test.py
@@ -4,7 +4,7 @@
 import pytest
 
 from ebonyrack.core.clock import now_s
-from ebonyrack.core.position import START
+from ebonyrack.core.position import LOG_START
 from ebonyrack.core.position import LogPosition
 from ebonyrack.routing.read_index import ReadIndex
 from ebonyrack.routing.read_overlap import choose_overlap
@@ -86,7 +86,7 @@
         {"term": 2},
         {"term": 2, "applied": LogPosition(2, 9), "received": LogPosition(2, 9)},
         {"applied": LogPosition(0, 99)},
-        {"applied": START},
+        {"applied": LOG_START},
     ],
 )
 async def test_answer_of_another_term_or_role_is_dropped(group, index, change):
@@ -106,7 +106,7 @@
 
 @pytest.mark.parametrize(
     "requirement",
-    [ReadRequirement(minimum=START), ReadRequirement(max_age_s=1.0)],
+    [ReadRequirement(minimum=LOG_START), ReadRequirement(max_age_s=1.0)],
 )
 async def test_read_that_needs_no_new_index_waits_for_none(group, index, requirement):
     assert choose(group, index, requirement) is None
--- a/ebonyrack/routing/read_placement.py
+++ b/ebonyrack/routing/read_placement.py
@@ -13,7 +13,7 @@
 from ebonyrack.core.errors import ErrorKind
 from ebonyrack.core.errors import RequestError
 from ebonyrack.core.logs import log_decision
-from ebonyrack.core.position import START
+from ebonyrack.core.position import LOG_START
 from ebonyrack.core.position import LogPosition
 from ebonyrack.core.registry import Registry
 from ebonyrack.routing.read_search import ReadPlacement
@@ -219,7 +219,7 @@
         RequestError: NO_PRIMARY if there is none in time.
     """
     primary = await search.group.wait_for_primary(search.deadline_s)
-    return search.place(primary, START, "primary_only", hold=False)
+    return search.place(primary, LOG_START, "primary_only", hold=False)
 
 
 @READ_POLICIES.register("primary_after_write")
@@ -238,7 +238,7 @@
     wrote_at_s = search.requirement.wrote_at_s
     if wrote_at_s is not None and search.started_s - wrote_at_s < AFTER_WRITE_S:
         return await place_on_primary(search)
-    replica = choose_replica(search, START)
+    replica = choose_replica(search, LOG_START)
     if replica is None:
         return await place_on_primary(search)
-    return search.place(replica, START, "any_replica", hold=False)
+    return search.place(replica, LOG_START, "any_replica", hold=False)
--- a/ebonyrack/routing/read_placement_test.py
+++ b/ebonyrack/routing/read_placement_test.py
@@ -6,7 +6,7 @@
 from ebonyrack.core.clock import now_s
 from ebonyrack.core.errors import ErrorKind
 from ebonyrack.core.errors import RequestError
-from ebonyrack.core.position import START
+from ebonyrack.core.position import LOG_START
 from ebonyrack.core.position import LogPosition
 from ebonyrack.routing import read_placement
 from ebonyrack.routing.conftest import FakeGroup
@@ -75,7 +75,7 @@
 async def test_aged_read_does_not_wait_but_shows_own_writes(group):
     async with ReadIndex(group) as index:
 
-        async def place_aged(max_age_s, own_writes=START):
+        async def place_aged(max_age_s, own_writes=LOG_START):
             requirement = ReadRequirement(None, max_age_s, own_writes)
             return await place_read(group, index, requirement, now_s() + WAIT_S)
 
--- a/ebonyrack/routing/read_search.py
+++ b/ebonyrack/routing/read_search.py
@@ -8,7 +8,7 @@
 from typing import TYPE_CHECKING
 
 from ebonyrack.core.clock import now_s
-from ebonyrack.core.position import START
+from ebonyrack.core.position import LOG_START
 from ebonyrack.core.position import LogPosition
 from ebonyrack.core.tasks import end_tasks
 from ebonyrack.upstreams.connection import UpstreamLostError
@@ -28,13 +28,13 @@
         minimum: Position from the session's token, or None to see every write
             acknowledged before the read.
         max_age_s: Age that the data may have, in seconds, or None.
-        own_writes: Position of the session's own last write; START for none.
+        own_writes: Position of the session's own last write; LOG_START for none.
         wrote_at_s: Monotonic time of that write, or None.
     """
 
     minimum: LogPosition | None = None
     max_age_s: float | None = None
-    own_writes: LogPosition = START
+    own_writes: LogPosition = LOG_START
     wrote_at_s: float | None = None
 
 
--- a/ebonyrack/scripts/settings_text.py
+++ b/ebonyrack/scripts/settings_text.py
@@ -6,7 +6,7 @@
 from collections.abc import Iterable
 from pathlib import Path
 
-from ebonyrack.core.fault import Fault
+from ebonyrack.core.config_error import ConfigError
 
 
 def read_settings_text(path: Path) -> str | None:
@@ -22,7 +22,7 @@
         return None
 
 
-def print_faults(faults: Iterable[Fault]) -> None:
+def print_faults(faults: Iterable[ConfigError]) -> None:
     """Print every fault of the settings to standard error.
 
     Args:
--- a/ebonyrack/service/group_table.py
+++ b/ebonyrack/service/group_table.py
@@ -8,7 +8,7 @@
 
 from loguru import logger
 
-from ebonyrack.core.owner import Owner
+from ebonyrack.core.component import Component
 from ebonyrack.core.tasks import end_tasks
 from ebonyrack.failover.coordinator import Coordinator
 from ebonyrack.peers.shares import ShareCount
@@ -25,7 +25,7 @@
     from ebonyrack.service.services import Services
 
 
-class GroupTable(Owner):
+class GroupTable(Component):
     """Starts, changes and stops groups as the document says: a context manager.
 
     Attributes:
--- a/ebonyrack/service/key_retention.py
+++ b/ebonyrack/service/key_retention.py
@@ -8,8 +8,8 @@
 from loguru import logger
 
 from ebonyrack.core.clock import now_s
+from ebonyrack.core.component import Component
 from ebonyrack.core.errors import RequestError
-from ebonyrack.core.owner import Owner
 from ebonyrack.core.tasks import end_tasks
 from ebonyrack.routing.idempotency import DELETED_ROWS
 from ebonyrack.routing.idempotency import remove_expired
@@ -25,7 +25,7 @@
 POOL_CALLER = "ebonyrack key retention"
 
 
-class KeyRetention(Owner):
+class KeyRetention(Component):
     """Removes a group's expired keys from time to time: a context manager.
 
     Only the first of the group's coordinators does so.
--- a/ebonyrack/service/proxy.py
+++ b/ebonyrack/service/proxy.py
@@ -13,7 +13,7 @@
 from ebonyrack.config.edit_handler import EditHandler
 from ebonyrack.config.state import ConfigurationState
 from ebonyrack.config.watch import ConfigurationWatch
-from ebonyrack.core.owner import Owner
+from ebonyrack.core.component import Component
 from ebonyrack.core.tasks import end_tasks
 from ebonyrack.failover.pre_vote import OpinionDesk
 from ebonyrack.failover.terms import TermSource
@@ -31,7 +31,7 @@
     from ebonyrack.peers.link import PeerLink
 
 
-class Proxy(Owner):
+class Proxy(Component):
     """One proxy process: an async context manager that runs all parts.
 
     Attributes:
--- a/ebonyrack/service/region_test.py
+++ b/ebonyrack/service/region_test.py
@@ -12,7 +12,7 @@
 from ebonyrack.config.edit import build_edit
 from ebonyrack.config.edit_attempt import EditAttempt
 from ebonyrack.core.clock import now_s
-from ebonyrack.core.owner import Owner
+from ebonyrack.core.component import Component
 from ebonyrack.core.tasks import end_tasks
 from ebonyrack.failover.bench_test import Bench
 from ebonyrack.peers.member import MemberState
@@ -98,7 +98,7 @@
         return list(self.outcomes.values()).count("yes")
 
 
-class Places(Owner):
+class Places(Component):
     """Proxy and upstream of each number in a place, and callers of the proxies."""
 
     def __init__(self, places, store_place=PLATFORM, **overrides):
--- a/ebonyrack/serving/session.py
+++ b/ebonyrack/serving/session.py
@@ -14,8 +14,8 @@
 from ebonyrack.core.logs import log_failure
 from ebonyrack.core.position import LogPosition
 from ebonyrack.core.registry import Registry
-from ebonyrack.members.session_names import PreparedStatement
-from ebonyrack.members.session_names import SessionNames
+from ebonyrack.members.session_context import PreparedStatement
+from ebonyrack.members.session_context import SessionContext
 from ebonyrack.requests.reply import Answer
 from ebonyrack.requests.reply import Reply
 from ebonyrack.requests.reply import TransactionState
@@ -23,14 +23,14 @@
 from ebonyrack.requests.request import RequestKind
 from ebonyrack.serving.reading import serve_read
 from ebonyrack.serving.services import Services
-from ebonyrack.serving.statement_run import build_run
+from ebonyrack.serving.statement import build_statement
 from ebonyrack.serving.transaction import CallerTransaction
 from ebonyrack.serving.writing import serve_write
 
-Serve = Callable[["Session", Request], Awaitable[Answer]]
+RequestHandler = Callable[["Session", Request], Awaitable[Answer]]
 
 # From the kind of a request to what serves it.
-REQUESTS: Registry[Serve] = Registry("kind of request")
+REQUEST_HANDLERS: Registry[RequestHandler] = Registry("kind of request")
 
 
 class Session:
@@ -39,18 +39,18 @@
     Attributes:
         services: What all sessions share.
         database: Name of the database that the caller asked for.
-        names: Values and prepared statements that the caller has set.
-        seen: Group and position of the session's own newest commit, or None.
+        context: Values and prepared statements that the caller has set.
+        last_commit: Group and position of the session's own newest commit, or None.
         transaction: The open transaction, or None.
     """
 
-    __slots__ = ("services", "database", "names", "seen", "transaction")
+    __slots__ = ("services", "database", "context", "last_commit", "transaction")
 
     def __init__(self, services: Services, database: bytes) -> None:
         self.services = services
         self.database = database
-        self.names = SessionNames()
-        self.seen: tuple[str, LogPosition] | None = None
+        self.context = SessionContext()
+        self.last_commit: tuple[str, LogPosition] | None = None
         self.transaction: CallerTransaction | None = None
 
     @property
@@ -71,7 +71,7 @@
         """
         started_s = now_s()
         try:
-            serve = REQUESTS.get(request.kind)
+            serve = REQUEST_HANDLERS.get(request.kind)
             self.check_state(request.kind)
             answer = await serve(self, request)
         except RequestError as error:
@@ -79,7 +79,7 @@
                 self.transaction.fail()
             answer = Answer(self.state, error=error)
         elapsed_s = now_s() - started_s
-        self.count(request, answer, elapsed_s)
+        self.record_answer(request, answer, elapsed_s)
         return answer
 
     def check_state(self, kind: RequestKind) -> None:
@@ -97,7 +97,7 @@
         elif self.transaction.is_failed and not ends:
             raise RequestError(ErrorKind.TRANSACTION_FAILED)
 
-    def count(self, request: Request, answer: Answer, elapsed_s: float) -> None:
+    def record_answer(self, request: Request, answer: Answer, elapsed_s: float) -> None:
         """Count an answer, and log one that failed."""
         outcome = "served" if answer.error is None else str(answer.error.kind)
         metrics.requests.add(1, {"kind": str(request.kind), "outcome": outcome})
@@ -117,19 +117,19 @@
                 elapsed_s=round(elapsed_s, 4),
             )
 
-    def find_seen(self, group: str) -> LogPosition | None:
+    def find_last_commit(self, group: str) -> LogPosition | None:
         """Return the position of the session's newest commit in a group."""
-        if self.seen is None or self.seen[0] != group:
+        if self.last_commit is None or self.last_commit[0] != group:
             return None
-        return self.seen[1]
+        return self.last_commit[1]
 
-    def note_commit(self, group: str, reply: Reply) -> None:
+    def record_commit(self, group: str, reply: Reply) -> None:
         """Keep the position of a commit that the caller is told of."""
         if reply.position is None:
             return
-        known = self.find_seen(group)
+        known = self.find_last_commit(group)
         if known is None or reply.position > known:
-            self.seen = (group, reply.position)
+            self.last_commit = (group, reply.position)
 
     def is_idle_too_long(self, limit_s: float) -> bool:
         """Return whether a transaction has waited for its caller too long."""
@@ -158,42 +158,44 @@
     return Answer(session.state, reply.rows, reply.signature)
 
 
-@REQUESTS.register(RequestKind.READ)
-@REQUESTS.register(RequestKind.WRITE)
-@REQUESTS.register(RequestKind.EXECUTE)
+@REQUEST_HANDLERS.register(RequestKind.READ)
+@REQUEST_HANDLERS.register(RequestKind.WRITE)
+@REQUEST_HANDLERS.register(RequestKind.EXECUTE)
 async def serve_statement(session: Session, request: Request) -> Answer:
     """Serve a read or write."""
     transaction = session.transaction
     if transaction is not None:
-        run = build_run(request, transaction.route, transaction.group, session.names)
-        return build_answer(session, await transaction.run(run))
+        statement = build_statement(
+            request, transaction.route, transaction.group, session.context
+        )
+        return build_answer(session, await transaction.execute(statement))
     route = session.services.find_route(session.database)
     group = session.services.find_group(route)
-    run = build_run(request, route, group, session.names)
-    if run.writes:
-        reply = await serve_write(run)
-        session.note_commit(group.name, reply)
+    statement = build_statement(request, route, group, session.context)
+    if statement.writes:
+        reply = await serve_write(statement)
+        session.record_commit(group.name, reply)
     else:
-        reply = await serve_read(run, session.find_seen(group.name))
+        reply = await serve_read(statement, session.find_last_commit(group.name))
     return build_answer(session, reply)
 
 
-@REQUESTS.register(RequestKind.BEGIN)
-@REQUESTS.register(RequestKind.BEGIN_READ_ONLY)
+@REQUEST_HANDLERS.register(RequestKind.BEGIN)
+@REQUEST_HANDLERS.register(RequestKind.BEGIN_READ_ONLY)
 async def serve_begin(session: Session, request: Request) -> Answer:
     """Begin a transaction; upstreams hear of it with its first statement."""
     route = session.services.find_route(session.database)
     group = session.services.find_group(route)
     is_read_only = request.kind is RequestKind.BEGIN_READ_ONLY
     if not is_read_only:
-        await group.wait_for_leader(now_s() + route.statement_timeout_s)
+        await group.wait_for_primary(now_s() + route.statement_timeout_s)
     session.transaction = CallerTransaction(
-        route, group, is_read_only, session.find_seen(group.name)
+        route, group, is_read_only, session.find_last_commit(group.name)
     )
     return Answer(session.state)
 
 
-@REQUESTS.register(RequestKind.COMMIT)
+@REQUEST_HANDLERS.register(RequestKind.COMMIT)
 async def serve_commit(session: Session, request: Request) -> Answer:
     """Commit the transaction; one that failed is rolled back."""
     transaction = session.transaction
@@ -201,41 +203,43 @@
     session.transaction = None
     if transaction.is_failed:
         raise RequestError(ErrorKind.UPSTREAM_LOST, "the transaction had failed")
-    run = build_run(request, transaction.route, transaction.group, session.names)
+    statement = build_statement(
+        request, transaction.route, transaction.group, session.context
+    )
     try:
-        reply = await transaction.commit(run)
+        reply = await transaction.commit(statement)
     finally:
         transaction.release()
     if transaction.has_written:
-        session.note_commit(transaction.group.name, reply)
+        session.record_commit(transaction.group.name, reply)
     return build_answer(session, reply)
 
 
-@REQUESTS.register(RequestKind.ROLLBACK)
+@REQUEST_HANDLERS.register(RequestKind.ROLLBACK)
 async def serve_rollback(session: Session, request: Request) -> Answer:
     """Roll the transaction back."""
     session.close()
     return Answer(session.state)
 
 
-@REQUESTS.register(RequestKind.SET)
+@REQUEST_HANDLERS.register(RequestKind.SET)
 async def serve_set(session: Session, request: Request) -> Answer:
     """Keep a session value; connections get it before they are used."""
-    session.names.values[request.name] = request.argument
+    session.context.values[request.name] = request.argument
     return Answer(session.state)
 
 
-@REQUESTS.register(RequestKind.PREPARE)
+@REQUEST_HANDLERS.register(RequestKind.PREPARE)
 async def serve_prepare(session: Session, request: Request) -> Answer:
     """Keep a prepared statement; connections get it before it is executed."""
-    session.names.prepared[request.name] = PreparedStatement(
+    session.context.prepared[request.name] = PreparedStatement(
         request.argument, request.writes
     )
     return Answer(session.state)
 
 
-@REQUESTS.register(RequestKind.CLOSE)
+@REQUEST_HANDLERS.register(RequestKind.CLOSE)
 async def serve_close(session: Session, request: Request) -> Answer:
     """Forget a prepared statement; one that isn't known is no error."""
-    session.names.prepared.pop(request.name, None)
+    session.context.prepared.pop(request.name, None)
     return Answer(session.state)
--- a/ebonyrack/serving/statement_run.py
+++ b/ebonyrack/serving/statement.py
@@ -14,14 +14,14 @@
 from ebonyrack.members.group import Group
 from ebonyrack.members.link import UpstreamLink
 from ebonyrack.members.member import Member
-from ebonyrack.members.read_candidates import PlacedRead
-from ebonyrack.members.session_names import PreparedStatement
-from ebonyrack.members.session_names import SessionNames
+from ebonyrack.members.read_candidates import PlacementRequest
+from ebonyrack.members.session_context import PreparedStatement
+from ebonyrack.members.session_context import SessionContext
 from ebonyrack.placing.shedding import WorkClass
 from ebonyrack.requests.reply import RejectionKind
 from ebonyrack.requests.reply import Reply
-from ebonyrack.requests.request import OWN_BEGIN
-from ebonyrack.requests.request import OWN_ROLLBACK
+from ebonyrack.requests.request import BEGIN_REQUEST
+from ebonyrack.requests.request import ROLLBACK_REQUEST
 from ebonyrack.requests.request import Request
 from ebonyrack.requests.request import RequestKind
 from ebonyrack.routes.route import Route
@@ -29,13 +29,13 @@
 SETUP_TIMEOUT_S = 0.5
 # A connection is opened within some ten milliseconds, by an upstream whose slots are
 # taken within a hundred.
-LEAST_CONNECTION_WAIT_S = 0.1
+MINIMUM_CONNECTION_WAIT_S = 0.1
 
 write_numbers = itertools.count()
 
 
 @dataclass(slots=True)
-class StatementRun:
+class Statement:
     """One statement of a caller, on its way.
 
     Attributes:
@@ -43,24 +43,24 @@
         prepared: The prepared statement that it executes, or None.
         route: Route of the session.
         group: Its database group.
-        names: What the caller has set and prepared.
+        context: What the caller has set and prepared.
         arrived_s: Time of arrival, on the boot clock.
         deadline_s: Monotonic time at which the route's time for it ends.
         queue_deadline_s: Monotonic time up to which it may wait for a connection. A
             caller that is refused by then has time to try another proxy, whose
             connections may be free; after its target an answer is worth little.
-        draw: Random number by which it is chosen to give way, or not.
+        shedding_draw: Random number by which it is chosen to give way, or not.
     """
 
     request: Request
     prepared: PreparedStatement | None
     route: Route
     group: Group
-    names: SessionNames
+    context: SessionContext
     arrived_s: float
     deadline_s: float
     queue_deadline_s: float
-    draw: float
+    shedding_draw: float
 
     @property
     def caller(self) -> str:
@@ -74,11 +74,11 @@
         One that has waited for a primary or for a lost reply gets the time to open a
         connection too.
         """
-        earliest_s = now_s() + LEAST_CONNECTION_WAIT_S
+        earliest_s = now_s() + MINIMUM_CONNECTION_WAIT_S
         return min(self.deadline_s, max(self.queue_deadline_s, earliest_s))
 
     @property
-    def time_left_s(self) -> float:
+    def remaining_s(self) -> float:
         """Seconds that the route still allows."""
         return self.deadline_s - now_s()
 
@@ -94,7 +94,7 @@
             return self.prepared.writes
         return self.request.kind is RequestKind.WRITE
 
-    def place(self, position: LogPosition | None) -> PlacedRead:
+    def build_placement_request(self, position: LogPosition | None) -> PlacementRequest:
         """Return what placing it needs to know.
 
         Args:
@@ -102,41 +102,41 @@
         """
         route = self.route
         work_class = WorkClass(route.priority, route.target_latency_s)
-        return PlacedRead(position, self.caller, work_class, self.draw)
+        return PlacementRequest(position, self.caller, work_class, self.shedding_draw)
 
-    def check_time(self, was_offered: bool) -> None:
+    def check_deadline(self, was_sent: bool) -> None:
         """End a statement whose time is over.
 
         Args:
-            was_offered: Whether an upstream was working on it.
+            was_sent: Whether an upstream was working on it.
 
         Raises:
             RequestError: If its time is over.
         """
-        if self.time_left_s > 0:
+        if self.remaining_s > 0:
             return
-        if was_offered:
+        if was_sent:
             raise RequestError(ErrorKind.STATEMENT_TIMED_OUT)
         raise RequestError(ErrorKind.WAIT_TOO_LONG, "the time of the route is over")
 
 
-def build_run(
-    request: Request, route: Route, group: Group, names: SessionNames
-) -> StatementRun:
+def build_statement(
+    request: Request, route: Route, group: Group, context: SessionContext
+) -> Statement:
     """Build the run of a statement that has just arrived.
 
     Args:
         request: The caller's statement.
         route: Route of the session.
         group: Its database group.
-        names: What the caller has set and prepared.
+        context: What the caller has set and prepared.
 
     Raises:
         RequestError: UNKNOWN_STATEMENT if it executes a name that isn't prepared.
     """
     prepared = None
     if request.kind is RequestKind.EXECUTE:
-        prepared = names.prepared.get(request.name)
+        prepared = context.prepared.get(request.name)
         if prepared is None:
             raise RequestError(ErrorKind.UNKNOWN_STATEMENT)
         request = Request(
@@ -147,26 +147,26 @@
             request.argument,
         )
     now = now_s()
-    return StatementRun(
+    return Statement(
         request=request,
         prepared=prepared,
         route=route,
         group=group,
-        names=names,
+        context=context,
         arrived_s=boot_time_s(),
         deadline_s=now + route.statement_timeout_s,
         queue_deadline_s=now + min(route.target_latency_s, route.statement_timeout_s),
-        draw=random.random(),
+        shedding_draw=random.random(),
     )
 
 
-async def set_up(run: StatementRun, link: UpstreamLink) -> None:
+async def set_up_session(statement: Statement, link: UpstreamLink) -> None:
     """Bring a connection to the caller's session before its statement is sent."""
-    await link.set_up(run.names, run.prepared, SETUP_TIMEOUT_S)
+    await link.set_up_session(statement.context, statement.prepared, SETUP_TIMEOUT_S)
 
 
-async def run_proved_read(
-    run: StatementRun, member: Member, link: UpstreamLink, timeout_s: float
+async def read_at_proven_primary(
+    statement: Statement, member: Member, link: UpstreamLink, timeout_s: float
 ) -> Reply:
     """Read at an upstream that must be the primary while it reads.
 
@@ -174,7 +174,7 @@
     refuses; all goes in one send, so the proof costs no round trip.
 
     Args:
-        run: The read.
+        statement: The read.
         member: The upstream.
         link: Connection to it.
         timeout_s: Seconds to wait.
@@ -186,30 +186,32 @@
         UpstreamLostError: If the connection broke.
         ReplyTimeoutError: If no reply came in time.
     """
-    asked_at_s = boot_time_s()
+    sent_at_s = boot_time_s()
     began, reply, _ = await link.exchange(
-        [OWN_BEGIN, run.request, OWN_ROLLBACK], timeout_s
+        [BEGIN_REQUEST, statement.request, ROLLBACK_REQUEST], timeout_s
     )
-    note_begun(run.group, member, began, asked_at_s)
+    record_begin_reply(statement.group, member, began, sent_at_s)
     return began if began.rejection is not None else reply
 
 
-def note_begun(group: Group, member: Member, began: Reply, asked_at_s: float) -> None:
+def record_begin_reply(
+    group: Group, member: Member, began: Reply, sent_at_s: float
+) -> None:
     """Take what the answer to a plain transaction's start tells of the lead.
 
     Args:
         group: The group.
         member: The upstream.
         began: Its answer.
-        asked_at_s: Time of sending, on the boot clock.
+        sent_at_s: Time of sending, on the boot clock.
     """
     if began.rejection is None:
-        group.note_leads(member, asked_at_s, began.position)
+        group.record_primary_reply(member, sent_at_s, began.position)
     elif began.rejection is RejectionKind.READ_ONLY:
-        group.note_not_leading(member)
+        group.record_not_primary(member)
 
 
-async def run_commit(
+async def send_commit(
     group: Group,
     member: Member,
     link: UpstreamLink,
@@ -233,13 +235,13 @@
         ReplyTimeoutError: If no reply came in time; the outcome is not known.
     """
     number = next(write_numbers)
-    asked_at_s = boot_time_s()
-    member.write_sent_s[number] = asked_at_s
+    sent_at_s = boot_time_s()
+    member.write_sent_s[number] = sent_at_s
     try:
         (reply,) = await link.exchange([request], timeout_s, is_abandonable=False)
     finally:
         member.write_sent_s.pop(number, None)
     if reply.rejection is None:
-        member.committed_sent_s = max(member.committed_sent_s, asked_at_s)
-        group.note_leads(member, asked_at_s, reply.position)
+        member.committed_sent_s = max(member.committed_sent_s, sent_at_s)
+        group.record_primary_reply(member, sent_at_s, reply.position)
     return reply
--- a/ebonyrack/serving/writing.py
+++ b/ebonyrack/serving/writing.py
@@ -13,23 +13,23 @@
 from ebonyrack.pooling.upstream_lost import UpstreamLostError
 from ebonyrack.requests.reply import RejectionKind
 from ebonyrack.requests.reply import Reply
-from ebonyrack.serving.statement_run import StatementRun
-from ebonyrack.serving.statement_run import run_commit
-from ebonyrack.serving.statement_run import set_up
+from ebonyrack.serving.statement import Statement
+from ebonyrack.serving.statement import send_commit
+from ebonyrack.serving.statement import set_up_session
 
 # A write that was not run is tried again; more tries mean a group in trouble.
-MAXIMUM_TRIES = 8
+MAXIMUM_ATTEMPTS = 8
 # Before the second try; each later pause is twice as long.
 RETRY_PAUSE_S = 0.01
 
 
-async def serve_write(run: StatementRun) -> Reply:
+async def serve_write(statement: Statement) -> Reply:
     """Run a write once, at the primary.
 
     Only what surely was not run is tried again.
 
     Args:
-        run: The write.
+        statement: The write.
 
     Returns:
         The reply, without a rejection.
@@ -38,36 +38,36 @@
         RequestError: If it was not run, failed, or its outcome is not known.
     """
     reason = ""
-    for number in range(MAXIMUM_TRIES):
+    for number in range(MAXIMUM_ATTEMPTS):
         if number > 0:
             await asyncio.sleep(RETRY_PAUSE_S * 2.0 ** (number - 1))
-        run.check_time(was_offered=False)
-        member = await run.group.wait_for_leader(run.deadline_s)
-        reply = await try_primary(run, member)
+        statement.check_deadline(was_sent=False)
+        member = await statement.group.wait_for_primary(statement.deadline_s)
+        reply = await try_primary(statement, member)
         if isinstance(reply, str):
             reason = reply
             continue
         if reply.rejection is None:
-            is_late = run.elapsed_s > run.route.target_latency_s
+            is_late = statement.elapsed_s > statement.route.target_latency_s
             log = log_failure if is_late else log_decision
             log(
                 "write_late" if is_late else "write_acknowledged",
-                request=run.request.log_id,
-                group=run.group.name,
+                request=statement.request.log_id,
+                group=statement.group.name,
                 upstream=member.member_id,
                 position=str(reply.position),
                 tries=number + 1,
-                elapsed_s=round(run.elapsed_s, 4),
+                elapsed_s=round(statement.elapsed_s, 4),
             )
             return reply
         if not reply.rejection.is_not_run:
             raise build_write_failure(reply)
-        note_not_run(run, member, reply)
+        record_not_run(statement, member, reply)
         reason = reply.detail
     raise RequestError(ErrorKind.NO_PRIMARY, f"not run: {reason}")
 
 
-async def try_primary(run: StatementRun, member: Member) -> Reply | str:
+async def try_primary(statement: Statement, member: Member) -> Reply | str:
     """Send the write to an upstream.
 
     Returns:
@@ -77,20 +77,26 @@
         RequestError: If its outcome is not known.
     """
     try:
-        link = await member.pool.acquire(run.caller, run.connection_deadline_s)
+        link = await member.pool.acquire(
+            statement.caller, statement.connection_deadline_s
+        )
     except UpstreamLostError as error:
         return error.reason
     is_sent = False
     try:
-        await set_up(run, link)
+        await set_up_session(statement, link)
         is_sent = True
-        return await run_commit(
-            run.group, member, link, run.request, max(0.0, run.time_left_s)
+        return await send_commit(
+            statement.group,
+            member,
+            link,
+            statement.request,
+            max(0.0, statement.remaining_s),
         )
     except UpstreamLostError as error:
         if not is_sent:
             return error.reason
-        raise build_unknown(run, member, error.reason) from error
+        raise build_outcome_unknown(statement, member, error.reason) from error
     except ReplyTimeoutError:
         if not is_sent:
             return "the connection could not be set up"
@@ -101,12 +107,14 @@
         member.pool.release(link)
 
 
-def build_unknown(run: StatementRun, member: Member, reason: str) -> RequestError:
+def build_outcome_unknown(
+    statement: Statement, member: Member, reason: str
+) -> RequestError:
     """Build the answer to a write whose outcome is not known."""
     log_failure(
         "write_outcome_unknown",
-        request=run.request.log_id,
-        group=run.group.name,
+        request=statement.request.log_id,
+        group=statement.group.name,
         upstream=member.member_id,
         reason=reason,
     )
@@ -122,16 +130,16 @@
     return RequestError(ErrorKind.STATEMENT_FAILED, reply.detail)
 
 
-def note_not_run(run: StatementRun, member: Member, reply: Reply) -> None:
+def record_not_run(statement: Statement, member: Member, reply: Reply) -> None:
     """Learn from a refusal to run a write."""
     if reply.rejection is RejectionKind.READ_ONLY:
-        run.group.note_not_leading(member)
+        statement.group.record_not_primary(member)
     elif reply.rejection is RejectionKind.BUSY:
         member.pool.note_busy()
     log_failure(
         "write_not_run",
-        request=run.request.log_id,
-        group=run.group.name,
+        request=statement.request.log_id,
+        group=statement.group.name,
         upstream=member.member_id,
         reason=reply.detail,
     )
--- a/ebonyrack/standins/control.py
+++ b/ebonyrack/standins/control.py
@@ -8,7 +8,7 @@
 from aiohttp import web
 
 from ebonyrack.core.address import Address
-from ebonyrack.core.owner import Owner
+from ebonyrack.core.component import Component
 from ebonyrack.core.registry import Registry
 from ebonyrack.standins.group import StandinGroup
 from ebonyrack.standins.options import UpstreamOptions
@@ -81,7 +81,7 @@
             group[name].slots = asyncio.Semaphore(body["slots"])
 
 
-class FaultControl(Owner):
+class FaultControl(Component):
     """Serves `PUT /fault/KIND` with a JSON body, and `GET /status`.
 
     Attributes:
--- a/ebonyrack/standins/control_plane.py
+++ b/ebonyrack/standins/control_plane.py
@@ -12,7 +12,7 @@
 from ebonyrack.config.state import ConfigurationState
 from ebonyrack.config.watch import ConfigurationWatch
 from ebonyrack.core.address import Address
-from ebonyrack.core.owner import Owner
+from ebonyrack.core.component import Component
 from ebonyrack.core.settings import Settings
 from ebonyrack.core.settings import parse_settings
 from ebonyrack.peers.hub import PeerHub
@@ -111,7 +111,7 @@
     return settings
 
 
-class ControlPlane(Owner):
+class ControlPlane(Component):
     """One proxy without callers and upstreams: an async context manager.
 
     Attributes:
@@ -150,7 +150,7 @@
         return self.settings.proxy.name
 
 
-class Fleet(Owner):
+class Fleet(Component):
     """Several control planes and the platform: an async context manager.
 
     Attributes:
--- a/ebonyrack/standins/group.py
+++ b/ebonyrack/standins/group.py
@@ -9,7 +9,7 @@
 from ebonyrack.config.sections import GroupSection
 from ebonyrack.config.sections import UpstreamSpec
 from ebonyrack.core.address import Address
-from ebonyrack.core.owner import Owner
+from ebonyrack.core.component import Component
 from ebonyrack.standins.options import UpstreamOptions
 from ebonyrack.standins.upstream import StandinUpstream
 from ebonyrack.upstreams.status import Role
@@ -19,7 +19,7 @@
 LOOPBACK = "127.0.0.1"
 
 
-class StandinGroup(Owner):
+class StandinGroup(Component):
     """Upstreams that replicate from the first, with hooks to make them fail.
 
     Attributes:
--- a/ebonyrack/standins/kv_service.py
+++ b/ebonyrack/standins/kv_service.py
@@ -12,7 +12,7 @@
 
 from ebonyrack.core.address import Address
 from ebonyrack.core.clock import now_s
-from ebonyrack.core.owner import Owner
+from ebonyrack.core.component import Component
 from ebonyrack.core.tasks import end_tasks
 from ebonyrack.standins.line_group import LineGroup
 
@@ -55,7 +55,7 @@
     ends_s: float
 
 
-class KvService(Owner):
+class KvService(Component):
     """The platform's HTTP service: an async context manager.
 
     Attributes:
--- a/ebonyrack/standins/line_system.py
+++ b/ebonyrack/standins/line_system.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 from ebonyrack.core.address import Address
-from ebonyrack.core.owner import Owner
+from ebonyrack.core.component import Component
 from ebonyrack.core.route_settings import RouteProxySettings
 from ebonyrack.core.tasks import end_tasks
 from ebonyrack.platform.assembly import PlatformProxy
@@ -61,7 +61,7 @@
     }
 
 
-class LineSystem(Owner):
+class LineSystem(Component):
     """A group of three upstreams, the platform's service and proxies.
 
     Attributes:
@@ -147,7 +147,7 @@
                 await self.beat(upstream)
 
 
-class LineCaller(Owner):
+class LineCaller(Component):
     """A caller of a proxy.
 
     Attributes:
--- a/ebonyrack/standins/line_upstream.py
+++ b/ebonyrack/standins/line_upstream.py
@@ -9,7 +9,7 @@
 from dataclasses import field
 
 from ebonyrack.core.address import Address
-from ebonyrack.core.owner import Owner
+from ebonyrack.core.component import Component
 from ebonyrack.core.position import LogPosition
 from ebonyrack.core.tasks import end_tasks
 from ebonyrack.standins.line_group import LineGroup
@@ -70,7 +70,7 @@
     prepared: dict[str, tuple[str, str]] = field(default_factory=dict)
 
 
-class LineUpstream(Owner):
+class LineUpstream(Component):
     """One upstream of a group: an async context manager.
 
     Attributes:
--- a/ebonyrack/standins/log.py
+++ b/ebonyrack/standins/log.py
@@ -5,7 +5,7 @@
 import asyncio
 from dataclasses import dataclass
 
-from ebonyrack.core.position import START
+from ebonyrack.core.position import LOG_START
 from ebonyrack.core.position import LogPosition
 
 SqlValue = int | float | str | bytes | None
@@ -60,7 +60,7 @@
     @property
     def last(self) -> LogPosition:
         """Position of the last entry."""
-        return self.entries[-1].position if self.entries else START
+        return self.entries[-1].position if self.entries else LOG_START
 
     def holds(self, position: LogPosition) -> bool:
         """Return whether the entry at an offset has exactly this term."""
@@ -121,7 +121,7 @@
     __slots__ = ("reached", "waiting")
 
     def __init__(self) -> None:
-        self.reached = START
+        self.reached = LOG_START
         self.waiting: list[tuple[LogPosition, asyncio.Future[None]]] = []
 
     def advance(self, position: LogPosition) -> None:
--- a/ebonyrack/standins/network.py
+++ b/ebonyrack/standins/network.py
@@ -8,7 +8,7 @@
 from contextvars import ContextVar
 from typing import Any
 
-from ebonyrack.core.owner import Owner
+from ebonyrack.core.component import Component
 from ebonyrack.core.tasks import end_tasks
 
 READ_BYTES = 65536
@@ -19,7 +19,7 @@
 Dial = Callable[..., Any]
 
 
-class Network(Owner):
+class Network(Component):
     """Carries what proxies dial, place by place: an async context manager.
 
     A cut link keeps its bytes, the end of a stream too, and delivers them after it
--- a/ebonyrack/standins/platform.py
+++ b/ebonyrack/standins/platform.py
@@ -12,7 +12,7 @@
 
 from ebonyrack.core.address import Address
 from ebonyrack.core.clock import now_s
-from ebonyrack.core.owner import Owner
+from ebonyrack.core.component import Component
 from ebonyrack.core.tasks import end_tasks
 from ebonyrack.standins.key_value import MAXIMUM_VALUE_BYTES
 from ebonyrack.standins.key_value import KeyValueState
@@ -33,7 +33,7 @@
 Handler = Callable[[web.Request], Awaitable[web.StreamResponse]]
 
 
-class StandinPlatform(Owner):
+class StandinPlatform(Component):
     """The platform's HTTP service, with faults. Its state outlasts stop and start.
 
     Attributes:
--- a/ebonyrack/standins/system.py
+++ b/ebonyrack/standins/system.py
@@ -10,7 +10,7 @@
 
 from ebonyrack.config.stored import StoredDocument
 from ebonyrack.config.stored import pack_stored
-from ebonyrack.core.owner import Owner
+from ebonyrack.core.component import Component
 from ebonyrack.core.settings import parse_settings
 from ebonyrack.service.proxy import Proxy
 from ebonyrack.standins.group import StandinGroup
@@ -67,7 +67,7 @@
     return "\n".join([f"[group {GROUP}]", *lines, ""])
 
 
-class System(Owner):
+class System(Component):
     """Stand-ins and proxies of one process: an async context manager.
 
     Attributes:
