--- a/ebonyrack/standins/upstream.py
+++ b/ebonyrack/standins/upstream.py
@@ -8,7 +8,7 @@
 
 from ebonyrack.core.address import Address
 from ebonyrack.core.clock import now_s
-from ebonyrack.core.owner import Owner
+from ebonyrack.core.component import Component
 from ebonyrack.core.position import LogPosition
 from ebonyrack.core.tasks import end_tasks
 from ebonyrack.standins.faults import UpstreamFaults
@@ -26,7 +26,7 @@
 LISTEN_BACKLOG = 1024
 
 
-class StandinUpstream(Storage, Owner):
+class StandinUpstream(Storage, Component):
     """A database server with terms, fencing, promotion and asynchronous replication.
 
     What a killed upstream keeps is its log, its term and the terms it granted.
--- a/ebonyrack/store/follower.py
+++ b/ebonyrack/store/follower.py
@@ -19,8 +19,8 @@
 from result import Result
 
 from ebonyrack.core.clock import boot_time_s
-from ebonyrack.core.owner import Owner
-from ebonyrack.core.signal import Signal
+from ebonyrack.core.component import Component
+from ebonyrack.core.notifier import Notifier
 from ebonyrack.core.tasks import end_tasks
 from ebonyrack.core.tasks import start_loop
 from ebonyrack.store.backoff import Backoff
@@ -75,8 +75,8 @@
     def __init__(self) -> None:
         self.answering_since_s: float | None = None
         self.lost_since_s: float | None = boot_time_s()
-        self.regained = Signal()
-        self.doubted = Signal()
+        self.regained = Notifier()
+        self.doubted = Notifier()
 
     def measure_answering(self) -> float:
         """Return for how long the store has answered without a failure, in seconds."""
@@ -104,7 +104,7 @@
             logger.bind(kind=error.kind, reason=error.reason).warning("store_lost")
 
 
-class StoreFollower(Owner):
+class StoreFollower(Component):
     """Hands on what the store holds and each change of it.
 
     Attributes:
--- a/ebonyrack/store/http_client.py
+++ b/ebonyrack/store/http_client.py
@@ -12,7 +12,7 @@
 from result import Result
 
 from ebonyrack.core.address import Address
-from ebonyrack.core.owner import Owner
+from ebonyrack.core.component import Component
 from ebonyrack.store.store_answer import StoreError
 from ebonyrack.store.store_answer import StoreErrorKind
 
@@ -66,7 +66,7 @@
     body: bytes
 
 
-class HttpClient(Owner):
+class HttpClient(Component):
     """Connections to one address: an async context manager.
 
     A call that times out closes its connection, so that one which went silent is
--- a/ebonyrack/store/store.py
+++ b/ebonyrack/store/store.py
@@ -12,7 +12,7 @@
 
 from ebonyrack.core import metrics
 from ebonyrack.core.clock import now_s
-from ebonyrack.core.owner import Owner
+from ebonyrack.core.component import Component
 from ebonyrack.core.settings import StoreSettings
 from ebonyrack.store.http_client import HttpAnswer
 from ebonyrack.store.http_client import HttpCall
@@ -29,7 +29,7 @@
 MAXIMUM_VALUE_BYTES = 1_000_000
 
 
-class Store(Owner):
+class Store(Component):
     """Client of the store: an async context manager.
 
     Keys are relative to the prefix of the settings. Each call has a time-out, is
--- a/ebonyrack/upstreams/confirmations.py
+++ b/ebonyrack/upstreams/confirmations.py
@@ -9,7 +9,7 @@
 from dataclasses import field
 from typing import TYPE_CHECKING
 
-from ebonyrack.core.signal import Signal
+from ebonyrack.core.notifier import Notifier
 from ebonyrack.upstreams.status import Role
 
 if TYPE_CHECKING:
@@ -67,7 +67,7 @@
         self.held: dict[str, int] = {}
         self.confirmed = 0
         self.waiting: list[Confirmation] = []
-        self.added = Signal()
+        self.added = Notifier()
         self.numbers = itertools.count()
 
     def observe(self, name: str, status: UpstreamStatus) -> bool:
--- a/ebonyrack/upstreams/counted_log.py
+++ b/ebonyrack/upstreams/counted_log.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from ebonyrack.core.clock import now_s
-from ebonyrack.core.position import START
+from ebonyrack.core.position import LOG_START
 from ebonyrack.core.position import LogPosition
 
 
@@ -26,7 +26,7 @@
     __slots__ = ("position", "counted_at_s", "lost_at_s", "target")
 
     def __init__(self) -> None:
-        self.position = START
+        self.position = LOG_START
         self.counted_at_s = 0.0
         self.lost_at_s: float | None = None
         self.target: LogPosition | None = None
--- a/ebonyrack/upstreams/counted_log_test.py
+++ b/ebonyrack/upstreams/counted_log_test.py
@@ -1,5 +1,5 @@
 from ebonyrack.core.clock import now_s
-from ebonyrack.core.position import START
+from ebonyrack.core.position import LOG_START
 from ebonyrack.core.position import LogPosition
 from ebonyrack.upstreams.counted_log import CountedLog
 
@@ -27,7 +27,7 @@
     log = CountedLog()
     log.count(COUNTED)
     asked_before_s = now_s()
-    assert log.observe(START, asked_before_s + 1)
+    assert log.observe(LOG_START, asked_before_s + 1)
     # The primary has not been asked since, and its older answer proves nothing.
     log.observe_primary(COUNTED, asked_before_s)
     assert not log.holds(COUNTED)
--- a/ebonyrack/upstreams/group.py
+++ b/ebonyrack/upstreams/group.py
@@ -10,12 +10,12 @@
 
 from ebonyrack.core import metrics
 from ebonyrack.core.clock import now_s
+from ebonyrack.core.component import Component
 from ebonyrack.core.errors import ErrorKind
 from ebonyrack.core.errors import RequestError
 from ebonyrack.core.logs import log_decision
-from ebonyrack.core.owner import Owner
+from ebonyrack.core.notifier import Notifier
 from ebonyrack.core.position import LogPosition
-from ebonyrack.core.signal import Signal
 from ebonyrack.upstreams.confirmations import Confirmations
 from ebonyrack.upstreams.confirming import confirm_once
 from ebonyrack.upstreams.lag import PrimaryHistory
@@ -38,7 +38,7 @@
 DRAIN_CHECK_S = 0.005
 
 
-class DatabaseGroup(Owner):
+class DatabaseGroup(Component):
     """The upstreams of one group and what this proxy knows of their primary.
 
     Attributes:
@@ -70,7 +70,7 @@
         self.acknowledged_term = 0
         self.coordinator_rank: int | None = None
         self.history = PrimaryHistory()
-        self.changed = Signal()
+        self.changed = Notifier()
         self.hold_until_s = 0.0
         self.primary_wait = PrimaryWait(self.changed)
         self.requested_at_s = 0.0
--- a/ebonyrack/upstreams/primary_wait.py
+++ b/ebonyrack/upstreams/primary_wait.py
@@ -10,7 +10,7 @@
 
 if TYPE_CHECKING:
     from ebonyrack.config.sections import GroupSection
-    from ebonyrack.core.signal import Signal
+    from ebonyrack.core.notifier import Notifier
     from ebonyrack.upstreams.upstream import Upstream
 
 
@@ -28,7 +28,7 @@
 
     __slots__ = ("changed", "queue")
 
-    def __init__(self, changed: Signal) -> None:
+    def __init__(self, changed: Notifier) -> None:
         self.changed = changed
         self.queue = AdmissionQueue(0)
 
--- a/ebonyrack/upstreams/transport.py
+++ b/ebonyrack/upstreams/transport.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 
 from ebonyrack.core.address import Address
-from ebonyrack.core.losable_stream import LosableStream
+from ebonyrack.core.connection_stream import ConnectionStream
 from ebonyrack.pooling.upstream_lost import UpstreamLostError
 
 __all__ = ["FrameTransport", "Message", "UpstreamLostError", "connect"]
@@ -38,17 +38,17 @@
         return memoryview(self.raw)[HEADER_BYTES:]
 
 
-class FrameTransport(LosableStream):
+class FrameTransport(ConnectionStream):
     """Splits what arrives from an upstream into frames."""
 
     __slots__ = ()
 
-    end_reason = "the upstream closed the connection"
+    eof_reason = "the upstream closed the connection"
 
     def __init__(self) -> None:
         super().__init__(READ_BUFFER_BYTES)
 
-    def build_lost(self, reason: str) -> UpstreamLostError:
+    def build_lost_error(self, reason: str) -> UpstreamLostError:
         """Build the error that readers and writers get after the end."""
         return UpstreamLostError(reason)
 
--- a/ebonyrack/upstreams/upstream.py
+++ b/ebonyrack/upstreams/upstream.py
@@ -8,8 +8,8 @@
 from transitions import Machine
 
 from ebonyrack.core.clock import now_s
-from ebonyrack.core.owner import Owner
-from ebonyrack.core.position import START
+from ebonyrack.core.component import Component
+from ebonyrack.core.position import LOG_START
 from ebonyrack.core.position import LogPosition
 from ebonyrack.core.tasks import end_tasks
 from ebonyrack.upstreams.connection import QueryAnswer
@@ -52,7 +52,7 @@
 )
 
 
-class Upstream(Owner):
+class Upstream(Component):
     """An upstream as this proxy sees it.
 
     Attributes:
@@ -215,7 +215,7 @@
 
     async def poll(
         self,
-        position: LogPosition = START,
+        position: LogPosition = LOG_START,
         wait_s: float = 0.0,
         received: bool = False,
     ) -> UpstreamStatus:
@@ -303,7 +303,7 @@
         Raises:
             UpstreamLostError: If no valid answer came.
         """
-        sql = self.contract.build_poll(START, 0)
+        sql = self.contract.build_poll(LOG_START, 0)
         was_open = self.control.connection is not None
         try:
             answer = await self.control.run(sql, deadline_s)
