--- a/ebonyrack/callers/overlapping.py
+++ b/ebonyrack/callers/overlapping.py
@@ -101,7 +101,7 @@
         raise break_read(session, overlap.replica, error, False) from error
     # A cancel request that comes now is meant for the read, which runs already.
     session.enter(Phase.UPSTREAM)
-    placement = await overlap.judge(status)
+    placement = await overlap.validate(status)
     session.enter(Phase.WORKING)
     if placement is not None:
         return relay
--- a/ebonyrack/entry/failures_test.py
+++ b/ebonyrack/entry/failures_test.py
@@ -249,7 +249,7 @@
 async def test_nothing_is_promoted_before_all_upstreams_could_be_known(system, connect):
     # After an outage of the store some entries are back before others.
     proxy = system.proxies[0].proxy
-    proxy.was_settled = False
+    proxy.discovery_completed = False
     proxy.reach.answering_since_s = None
     proxy.reach.note_answering()
     await system.upstreams["up-1"].stop()
@@ -339,7 +339,7 @@
     group.started_s = LONG_AGO_S
     group.close_unused()
     for member in group.members.values():
-        await member.pool.warm(1)
+        await member.pool.warm_up(1)
         member.pool.idle_since_s = dict.fromkeys(member.pool.idle_since_s, 0.0)
     await asyncio.sleep(0.5)
     counts = {name: each.pool.open_count for name, each in group.members.items()}
@@ -363,7 +363,7 @@
     group.started_s = LONG_AGO_S
     group.close_unused()
     for member in group.members.values():
-        await member.pool.warm(1)
+        await member.pool.warm_up(1)
     await reader.ask("READ slot-1")
     for member_id in ("up-2", "up-3"):
         system.upstreams[member_id].faults.is_full = True
--- a/ebonyrack/entry/leader_watch.py
+++ b/ebonyrack/entry/primary_watch.py
@@ -46,25 +46,28 @@
 RETRY_PAUSE_S = 0.3
 
 
-class LeaderWatch(Owner):
+class PrimaryWatch(Owner):
     """Keeps what is known of one group's primary fresh.
 
     Attributes:
         group: The group.
         promoter: Changes its primary.
-        is_settled: Tells whether all upstreams have had time to be known.
+        is_discovery_complete: Tells whether all upstreams have had time to be known.
         tasks: Look at the primary, ask questions, change it.
         questions: Questions that wait for an answer, by upstream.
     """
 
-    __slots__ = ("group", "promoter", "is_settled", "tasks", "questions")
+    __slots__ = ("group", "promoter", "is_discovery_complete", "tasks", "questions")
 
     def __init__(
-        self, group: Group, promoter: Promoter, is_settled: Callable[[], bool]
+        self,
+        group: Group,
+        promoter: Promoter,
+        is_discovery_complete: Callable[[], bool],
     ) -> None:
         self.group = group
         self.promoter = promoter
-        self.is_settled = is_settled
+        self.is_discovery_complete = is_discovery_complete
         self.tasks: list[asyncio.Task[None]] = []
         self.questions: dict[str, asyncio.Task[None]] = {}
 
@@ -168,7 +171,7 @@
             verdict = self.group.verdict
             if not verdict.needs_promotion or not self.group.members:
                 continue
-            if not self.is_settled():
+            if not self.is_discovery_complete():
                 continue
             await asyncio.sleep(random.uniform(0, DUTY_SPREAD_S))
             if self.group.look_at_primary() is not verdict:
--- a/ebonyrack/entry/route_proxy.py
+++ b/ebonyrack/entry/route_proxy.py
@@ -16,9 +16,9 @@
 from ebonyrack.core.route_settings import RouteProxySettings
 from ebonyrack.core.tasks import end_tasks
 from ebonyrack.core.tasks import start_loop
-from ebonyrack.entry.leader_watch import LeaderWatch
 from ebonyrack.entry.listener import BALANCER_NOTICE_S
 from ebonyrack.entry.listener import Listener
+from ebonyrack.entry.primary_watch import PrimaryWatch
 from ebonyrack.members.group import Group
 from ebonyrack.members.presence import PREFIX as PROXIES_PREFIX
 from ebonyrack.members.presence import Presence
@@ -61,7 +61,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Surroundings:
+class ProxyDependencies:
     """What the proxy meets, behind interfaces that an adapter fills.
 
     Attributes:
@@ -90,7 +90,7 @@
 
     Attributes:
         settings: Settings of the process.
-        surroundings: What the proxy meets.
+        dependencies: What the proxy meets.
         services: What callers' sessions use.
         roster: The upstreams that the store names.
         presence: The proxies that live.
@@ -100,27 +100,27 @@
         watches: Watch of each group's primary.
         isolated_since_s: Time since which others serve callers better, or None; it
             starts anew when callers were let go.
-        was_settled: Whether all upstreams have once had time to be known.
+        discovery_completed: Whether all upstreams have once had time to be known.
     """
 
     def __init__(
-        self, settings: RouteProxySettings, surroundings: Surroundings
+        self, settings: RouteProxySettings, dependencies: ProxyDependencies
     ) -> None:
         self.settings = settings
-        self.surroundings = surroundings
+        self.dependencies = dependencies
         self.services = Services(settings)
         self.roster = Roster(
-            surroundings.entry_prefix, surroundings.decode_entry, self.services.groups
+            dependencies.entry_prefix, dependencies.decode_entry, self.services.groups
         )
         self.presence = Presence(
-            surroundings.store, settings.name, self.divide_connections
+            dependencies.store, settings.name, self.divide_connections
         )
-        store = surroundings.store
+        store = dependencies.store
         self.reach = StoreReach()
         self.followers = (
             StoreFollower(
                 store,
-                FollowPlan(surroundings.entry_prefix, pause_s=ENTRIES_PAUSE_S),
+                FollowPlan(dependencies.entry_prefix, pause_s=ENTRIES_PAUSE_S),
                 self.roster.apply,
                 self.lacks_upstreams,
                 self.reach,
@@ -128,7 +128,7 @@
             ),
             StoreFollower(
                 store,
-                FollowPlan(surroundings.document_key, watch_s=DOCUMENT_WATCH_S),
+                FollowPlan(dependencies.document_key, watch_s=DOCUMENT_WATCH_S),
                 self.apply_document,
                 lambda: False,
                 self.reach,
@@ -141,9 +141,9 @@
                 self.reach,
             ),
         )
-        self.listener = Listener(self.services, surroundings.caller_codec)
-        self.watches: dict[str, LeaderWatch] = {}
-        self.was_settled = False
+        self.listener = Listener(self.services, dependencies.caller_codec)
+        self.watches: dict[str, PrimaryWatch] = {}
+        self.discovery_completed = False
         self.isolated_since_s: float | None = None
         self.stack = AsyncExitStack()
         self.surroundings_task: asyncio.Task[None] | None = None
@@ -228,12 +228,12 @@
     async def apply_document(self, changes: StoreChanges) -> None:
         """Take over the operators' routes."""
         for item in changes.items:
-            if item.key == self.surroundings.document_key:
+            if item.key == self.dependencies.document_key:
                 await self.offer_document(item.value)
 
     async def offer_document(self, value: bytes) -> None:
         """Put the operators' routes in force, unless they can't be read."""
-        found = self.surroundings.decode_document(value)
+        found = self.dependencies.decode_document(value)
         if isinstance(found, Err):
             logger.bind(reason=found.err_value).error("routes_rejected")
             return
@@ -250,7 +250,7 @@
             group = Group(
                 limits,
                 self.settings.data_centre,
-                self.surroundings.upstream_codec,
+                self.dependencies.upstream_codec,
                 self.presence.live_count,
             )
             groups[name] = group
@@ -271,23 +271,23 @@
         """Start to watch a group's primary."""
         promoter = Promoter(
             group,
-            self.surroundings.store,
-            self.surroundings.orders,
+            self.dependencies.store,
+            self.dependencies.orders,
             self.settings.name,
         )
-        watch = LeaderWatch(group, promoter, self.is_settled)
+        watch = PrimaryWatch(group, promoter, self.is_discovery_complete)
         self.watches[group.name] = watch
         await watch.start()
 
-    def is_settled(self) -> bool:
+    def is_discovery_complete(self) -> bool:
         """Whether every upstream that lives has had time to be known here.
 
         Entries that lapsed during an outage of the store come back some time after
         it. A successor chosen before that could lack what an unknown one holds.
         """
-        if not self.was_settled:
-            self.was_settled = self.reach.measure_answering() > MISSING_LIMIT_S
-        return self.was_settled
+        if not self.discovery_completed:
+            self.discovery_completed = self.reach.measure_answering() > MISSING_LIMIT_S
+        return self.discovery_completed
 
     def divide_connections(self) -> None:
         """Set this proxy's share of the upstreams' connections."""
--- a/ebonyrack/failover/failover_test.py
+++ b/ebonyrack/failover/failover_test.py
@@ -270,7 +270,7 @@
     upstream = proxy.group.upstreams["up-1"]
     bench.standins.freeze("up-1")
     opening = asyncio.create_task(upstream.pool.acquire("tests", now_s() + 10))
-    warming = asyncio.create_task(upstream.pool.warm(3))
+    warming = asyncio.create_task(upstream.pool.warm_up(3))
     await until(lambda: proxy.group.primary_name != "up-1")
     # Neither waits for the frozen primary any longer.
     for task in (opening, warming):
--- a/ebonyrack/members/group.py
+++ b/ebonyrack/members/group.py
@@ -98,7 +98,7 @@
         """Close connections that are unused and not kept."""
         for member in self.members.values():
             leads = member is self.leader
-            member.pool.keeps_unused = not (leads and self.is_returning)
+            member.pool.keeps_idle_connections = not (leads and self.is_returning)
             is_near = member.entry.data_centre == self.data_centre
             kept = compute_kept(self.connection_share, is_near, leads)
             member.pool.trim_idle(kept, UNUSED_S)
@@ -122,7 +122,9 @@
         if member is None:
             member = Member(entry, self.codec, self.connection_share)
             member.pool.set_weights(self.queue_weights)
-            member.pool.keeps_unused = not (entry.reports_primary and self.is_returning)
+            member.pool.keeps_idle_connections = not (
+                entry.reports_primary and self.is_returning
+            )
             self.members[entry.member_id] = member
             logger.bind(
                 group=self.name,
--- a/ebonyrack/members/link.py
+++ b/ebonyrack/members/link.py
@@ -82,7 +82,7 @@
         return self.is_open and self.due == 0 and self.state is TransactionState.IDLE
 
     @property
-    def is_resting(self) -> bool:
+    def is_idle_in_transaction(self) -> bool:
         """Whether a transaction holds it and nothing is due."""
         return self.due == 0 and self.state is TransactionState.OPEN
 
--- a/ebonyrack/members/member.py
+++ b/ebonyrack/members/member.py
@@ -172,7 +172,7 @@
         elif reply.rejection is not RejectionKind.READ_ONLY:
             self.note_trouble()
         if reply.rejection is RejectionKind.BUSY:
-            self.pool.note_busy()
+            self.pool.record_overload()
 
     def note_reply_time(self, elapsed_s: float) -> None:
         """Take a reply time into the averages."""
--- a/ebonyrack/members/read_candidates.py
+++ b/ebonyrack/members/read_candidates.py
@@ -84,7 +84,7 @@
 
 def expect_answer(member: Member, caller: str) -> float:
     """Return how long a read takes at an upstream now, in seconds."""
-    return member.pool.expect_wait(caller) + member.expected_reply_s
+    return member.pool.estimate_wait(caller) + member.expected_reply_s
 
 
 def build_crowded(member: Member, caller: str) -> RequestError:
@@ -116,7 +116,7 @@
         is_avoided=lacks or is_silent or now < member.avoided_until_s,
         is_spared=gives_way(group, member, read),
         latency_s=member.expected_reply_s,
-        expected_wait_s=member.pool.expect_wait(read.caller),
+        expected_wait_s=member.pool.estimate_wait(read.caller),
     )
 
 
--- a/ebonyrack/platform/assembly.py
+++ b/ebonyrack/platform/assembly.py
@@ -6,8 +6,8 @@
 
 from ebonyrack.core.owner import Owner
 from ebonyrack.core.route_settings import RouteProxySettings
+from ebonyrack.entry.route_proxy import ProxyDependencies
 from ebonyrack.entry.route_proxy import RouteProxy
-from ebonyrack.entry.route_proxy import Surroundings
 from ebonyrack.platform import caller_codec  # noqa: F401 (fills the registry)
 from ebonyrack.platform import member_entries
 from ebonyrack.platform import route_document
@@ -37,7 +37,7 @@
     def __init__(self, settings: RouteProxySettings) -> None:
         self.store = KvStore(settings.store_address)
         self.orders = PromotionCalls(settings.order_address)
-        surroundings = Surroundings(
+        dependencies = ProxyDependencies(
             store=self.store,
             orders=self.orders,
             caller_codec=CALLER_CODECS.get(PROTOCOL)(),
@@ -47,7 +47,7 @@
             entry_prefix=member_entries.PREFIX,
             decode_entry=member_entries.decode_entry,
         )
-        self.proxy = RouteProxy(settings, surroundings)
+        self.proxy = RouteProxy(settings, dependencies)
         self.probe = ReadyProbe(settings.ready_address, lambda: self.proxy.is_ready)
         self.stack = AsyncExitStack()
 
--- a/ebonyrack/pooling/admission.py
+++ b/ebonyrack/pooling/admission.py
@@ -13,7 +13,7 @@
 from ebonyrack.core.clock import now_s
 from ebonyrack.core.errors import ErrorKind
 from ebonyrack.core.errors import RequestError
-from ebonyrack.pooling.service_pace import ServicePace
+from ebonyrack.pooling.wait_estimator import WaitEstimator
 
 
 class Waiter:
@@ -64,7 +64,7 @@
         callers: Queues of the applications that have waiters.
         virtual_time: Progress of the application served last.
         count: Number of waiters.
-        pace: How fast its requests are served.
+        estimator: How fast its requests are served.
         arrivals: Numbers for requests in the order of arrival.
     """
 
@@ -74,7 +74,7 @@
         "callers",
         "virtual_time",
         "count",
-        "pace",
+        "estimator",
         "arrivals",
     )
 
@@ -84,7 +84,7 @@
         self.callers: dict[str, CallerQueue] = {}
         self.virtual_time = 0.0
         self.count = 0
-        self.pace = ServicePace()
+        self.estimator = WaitEstimator()
         self.arrivals = itertools.count()
 
     def __len__(self) -> int:
@@ -128,7 +128,7 @@
         queue.waiters.insert(place, waiter)
         self.count += 1
 
-    def take(self) -> Waiter | None:
+    def pop(self) -> Waiter | None:
         """Remove and return the waiter to serve next, or None."""
         if not self.callers:
             return None
@@ -168,7 +168,7 @@
         Args:
             build_error: Builds the error of one waiter.
         """
-        while (waiter := self.take()) is not None:
+        while (waiter := self.pop()) is not None:
             fail_waiter(waiter, build_error())
 
     def make_room(self, caller: str, servers: int) -> None:
@@ -238,7 +238,7 @@
         for name, queue in self.callers.items():
             if name != caller:
                 ahead += min(len(queue.waiters), place * queue.weight / weight)
-        return self.pace.estimate_wait(ahead, servers)
+        return self.estimator.estimate_wait(ahead, servers)
 
     def build_refusal(self, kind: ErrorKind, reason: str, servers: int) -> RequestError:
         """Build a refusal with a time to come back.
@@ -251,7 +251,7 @@
         Returns:
             The error.
         """
-        retry_after_s = self.pace.schedule_return(self.count, servers)
+        retry_after_s = self.estimator.schedule_retry(self.count, servers)
         return RequestError(kind, reason, retry_after_s)
 
 
--- a/ebonyrack/pooling/admission_test.py
+++ b/ebonyrack/pooling/admission_test.py
@@ -8,8 +8,8 @@
 from ebonyrack.core.errors import RequestError
 from ebonyrack.pooling.admission import AdmissionQueue
 from ebonyrack.pooling.admission import Waiter
-from ebonyrack.pooling.service_pace import MAXIMUM_RETRY_S
-from ebonyrack.pooling.service_pace import RETRY_JITTER
+from ebonyrack.pooling.wait_estimator import MAXIMUM_RETRY_S
+from ebonyrack.pooling.wait_estimator import RETRY_JITTER
 
 FAR_S = 3600.0
 
@@ -33,24 +33,24 @@
     queue.weights = {"booking": 3}
     add_many(queue, "calendar", 40)
     add_many(queue, "booking", 40)
-    served = Counter(queue.take().caller for _ in range(40))
+    served = Counter(queue.pop().caller for _ in range(40))
     assert served == {"booking": 30, "calendar": 10}
 
 
 async def test_newcomer_does_not_wait_behind_a_flood(queue):
     add_many(queue, "calendar", 90)
     for _ in range(30):
-        queue.take()
+        queue.pop()
     waiter = add(queue, "booking")
-    assert waiter in (queue.take(), queue.take())
+    assert waiter in (queue.pop(), queue.pop())
 
 
 async def test_idle_application_saves_up_no_share(queue):
     add_many(queue, "calendar", 60)
     for _ in range(50):
-        queue.take()
+        queue.pop()
     add_many(queue, "booking", 60)
-    served = Counter(queue.take().caller for _ in range(10))
+    served = Counter(queue.pop().caller for _ in range(10))
     assert served == {"booking": 5, "calendar": 5}
 
 
@@ -80,7 +80,7 @@
 
 async def test_wait_that_passes_the_deadline_is_refused_at_once(queue):
     for _ in range(100):
-        queue.pace.note_service(1.0)
+        queue.estimator.record_service_time(1.0)
     add_many(queue, "booking", 8)
     assert queue.estimate_wait("booking", 2) == pytest.approx(4.5, rel=0.01)
     with pytest.raises(RequestError) as caught:
@@ -100,7 +100,7 @@
             add(queue, "booking")
         returns.append(caught.value.retry_after_s)
     assert len(queue) == 10
-    rate = 1 / queue.pace.service_s
+    rate = 1 / queue.estimator.service_s
     for start_s in range(5):
         in_window = sum(start_s <= value < start_s + 1 for value in returns)
         assert in_window <= rate * (1 + RETRY_JITTER)
@@ -113,7 +113,7 @@
     for _ in range(100):
         with pytest.raises(RequestError):
             add(queue, "booking")
-    queue.pace.next_retry_s -= FAR_S
+    queue.estimator.next_retry_s -= FAR_S
     with pytest.raises(RequestError) as caught:
         add(queue, "booking")
     assert caught.value.retry_after_s < 0.1
@@ -121,11 +121,11 @@
 
 async def test_a_request_put_back_keeps_its_rank_and_the_bound(queue):
     first = add(queue, "booking")
-    assert queue.take() is first
+    assert queue.pop() is first
     others = add_many(queue, "booking", queue.limit)
     queue.put_back(first, 2)
     assert len(queue) == queue.limit
-    assert queue.take() is first
+    assert queue.pop() is first
     assert others[-1].granted.exception().kind is ErrorKind.QUEUE_FULL
     assert not any(waiter.granted.done() for waiter in others[:-1])
 
@@ -141,7 +141,7 @@
 async def test_crowd_beyond_the_longest_return_time_does_not_come_together(queue):
     queue.limit = 1
     add(queue, "booking")
-    queue.pace.service_s = 1.0
+    queue.estimator.service_s = 1.0
     returns = []
     for _ in range(3000):
         with pytest.raises(RequestError) as caught:
--- a/ebonyrack/pooling/busy_upstream_test.py
+++ b/ebonyrack/pooling/busy_upstream_test.py
@@ -17,7 +17,7 @@
 class FakeConnection:
     def __init__(self):
         self.is_clean = True
-        self.is_resting = False
+        self.is_idle_in_transaction = False
 
     def close(self):
         self.is_clean = False
@@ -42,7 +42,7 @@
 
 async def test_what_an_upstream_turns_away_waits_in_the_proxy(pool):
     working = await acquire_many(pool, SHARE)
-    pool.note_busy()
+    pool.record_overload()
     for connection in working[:4]:
         pool.release(connection)
     waiter = start_waiter(pool)
@@ -55,7 +55,7 @@
 
 async def test_connections_stay_open_while_fewer_are_used_at_once(pool):
     working = await acquire_many(pool, SHARE)
-    pool.note_busy()
+    pool.record_overload()
     for connection in working:
         pool.release(connection)
     assert pool.idle_count == SHARE
@@ -63,12 +63,12 @@
 
 async def test_a_transaction_that_rests_leaves_its_place_to_others(pool):
     (connection,) = await acquire_many(pool, 1)
-    pool.note_busy()
+    pool.record_overload()
     waiter = start_waiter(pool)
     await asyncio.sleep(0)
     assert not waiter.done()
-    connection.is_resting = True
-    pool.grant_places()
+    connection.is_idle_in_transaction = True
+    pool.grant_slots()
     await waiter
 
 
@@ -76,7 +76,7 @@
     monkeypatch.setattr(connection_limit, "REFUSED_LIMIT_S", 0.0)
     monkeypatch.setattr(connection_limit, "RAISE_INTERVAL_S", 0.01)
     working = await acquire_many(pool, SHARE)
-    pool.note_busy()
+    pool.record_overload()
     waiters = [start_waiter(pool) for _ in working]
     for connection in working:
         pool.release(connection)
@@ -88,7 +88,7 @@
 async def test_resting_transactions_leave_one_connection_to_others(pool):
     # Callers that begin, write and rest hold all connections of the proxy's share.
     for connection in await acquire_many(pool, SHARE):
-        connection.is_resting = True
+        connection.is_idle_in_transaction = True
     async with asyncio.timeout(WAIT_S):
         borrowed = await start_waiter(pool)
     waiter = start_waiter(pool)
@@ -101,7 +101,7 @@
 
 async def test_nothing_is_borrowed_from_an_upstream_that_refused(pool):
     for connection in await acquire_many(pool, SHARE):
-        connection.is_resting = True
+        connection.is_idle_in_transaction = True
     pool.note_refusal()
     waiter = start_waiter(pool)
     await asyncio.sleep(0)
--- a/ebonyrack/pooling/connection_limit.py
+++ b/ebonyrack/pooling/connection_limit.py
@@ -40,7 +40,7 @@
         self.raise_timer: asyncio.TimerHandle | None = None
 
     @property
-    def present(self) -> int:
+    def current(self) -> int:
         """The limit, lowered for a time after the upstream refused a connection."""
         if self.refused_at_s is None:
             return self.limit
@@ -75,7 +75,7 @@
         """Serve waiters by the present limit until it is no longer lowered."""
         self.raise_timer = None
         self.serve()
-        if self.present < self.limit:
+        if self.current < self.limit:
             self.raise_after(RAISE_INTERVAL_S)
 
     def stop_raising(self) -> None:
--- a/ebonyrack/pooling/pool.py
+++ b/ebonyrack/pooling/pool.py
@@ -20,7 +20,7 @@
 from ebonyrack.pooling.connection_opener import Connection
 from ebonyrack.pooling.connection_opener import ConnectionOpener
 from ebonyrack.pooling.connection_opener import build_stopped
-from ebonyrack.pooling.pool_places import PoolPlaces
+from ebonyrack.pooling.pool_slots import PoolSlots
 from ebonyrack.pooling.pooled_connection import QueueSettings
 from ebonyrack.pooling.upstream_lost import UpstreamLostError
 
@@ -29,7 +29,7 @@
 Settings = TypeVar("Settings", bound=QueueSettings)
 
 
-class Pool(PoolPlaces[Connection], Owner, Generic[Connection, Settings]):
+class Pool(PoolSlots[Connection], Owner, Generic[Connection, Settings]):
     """Connections to one upstream, each used by one caller at a time.
 
     Whoever is granted a place holds it until `release`.
@@ -59,8 +59,8 @@
     async def stop(self) -> None:
         """Take no more work and close every connection, also those in use."""
         self.stop_new_work()
-        self.limits.stop_raising()
-        self.work_limits.stop_raising()
+        self.size_limit.stop_raising()
+        self.concurrency_limit.stop_raising()
         for connection in list(self.busy):
             connection.close()
 
@@ -69,13 +69,13 @@
         """Requests that wait for a place."""
         return len(self.queue)
 
-    def expect_wait(self, caller: str) -> float:
+    def estimate_wait(self, caller: str) -> float:
         """Return how long a request would wait for a connection, in seconds.
 
         Args:
             caller: Name of the application that asks.
         """
-        if not self.queue and self.has_place():
+        if not self.queue and self.has_free_slot():
             return 0.0
         return self.queue.estimate_wait(caller, self.servers)
 
@@ -103,12 +103,12 @@
         """
         self.check_accepting()
         waiter = Waiter(caller, deadline_s, next(self.queue.arrivals))
-        if not self.queue and self.has_place():
-            connection = self.take_place()
+        if not self.queue and self.has_free_slot():
+            connection = self.take_slot()
         else:
             self.queue.limit = self.section.queue_limit
             self.queue.add(waiter, self.servers)
-            self.grant_places()
+            self.grant_slots()
             connection = await self.wait_for_grant(waiter)
         while connection is None:
             connection = await self.open_place(waiter)
@@ -119,13 +119,13 @@
         if not self.is_accepting:
             raise build_stopped(self.address)
 
-    def grant_places(self) -> None:
+    def grant_slots(self) -> None:
         """Serve waiters as long as there are places."""
-        while self.queue and self.is_accepting and self.has_place():
-            waiter = self.queue.take()
+        while self.queue and self.is_accepting and self.has_free_slot():
+            waiter = self.queue.pop()
             granted = waiter.granted if waiter is not None else None
             if granted is not None and not granted.done():
-                granted.set_result(self.take_place())
+                granted.set_result(self.take_slot())
 
     async def wait_for_grant(self, waiter: Waiter) -> Connection | None:
         """Wait until a place is granted, up to the waiter's deadline.
@@ -175,7 +175,7 @@
     def give_up_opening(self) -> None:
         """Free the place of a connection that was not opened."""
         self.opening -= 1
-        self.grant_places()
+        self.grant_slots()
 
     async def open_place(self, waiter: Waiter) -> Connection | None:
         """Open the connection of a place that is held.
@@ -196,7 +196,7 @@
         except UpstreamLostError as error:
             self.opening -= 1
             if error.sqlstate != TOO_MANY_CONNECTIONS:
-                self.grant_places()
+                self.grant_slots()
                 raise
             self.note_refusal()
         except BaseException:
@@ -228,14 +228,14 @@
     def note_refusal(self) -> None:
         """Lower the limit to what the upstream has let us open."""
         self.refused_at_s = now_s()
-        self.limits.note_refusal(self.open_count)
-        logger.bind(address=str(self.address), limit=self.present_limit).warning(
+        self.size_limit.note_refusal(self.open_count)
+        logger.bind(address=str(self.address), limit=self.current_limit).warning(
             "upstream refused a connection"
         )
 
-    def note_busy(self) -> None:
+    def record_overload(self) -> None:
         """Halve the statements at once, as the upstream turned one away unrun."""
-        self.work_limits.note_refusal(max(1, self.working_count // 2))
+        self.concurrency_limit.note_refusal(max(1, self.working_count // 2))
 
     async def wait_for_release(self, waiter: Waiter) -> Connection | None:
         """Wait for another place, after the upstream refused a connection.
@@ -256,7 +256,7 @@
             self.queue.fail_all(self.build_no_connection)
             raise self.build_no_connection()
         self.queue.put_back(waiter, self.servers)
-        self.grant_places()
+        self.grant_slots()
         return await self.wait_for_grant(waiter)
 
     def build_no_connection(self) -> RequestError:
@@ -288,10 +288,10 @@
         granted_at_s = self.busy.pop(connection)
         # How long a connection was held that broke tells nothing of the service.
         if connection.is_clean:
-            self.queue.pace.note_service(now_s() - granted_at_s)
+            self.queue.estimator.record_service_time(now_s() - granted_at_s)
         self.keep_or_close(connection)
-        self.grant_places()
-        if not self.keeps_unused:
+        self.grant_slots()
+        if not self.keeps_idle_connections:
             self.close_idle()
 
     def stop_new_work(self) -> None:
@@ -305,7 +305,7 @@
         """Take new work again."""
         self.is_accepting = True
 
-    async def warm(self, count: int) -> int:
+    async def warm_up(self, count: int) -> int:
         """Open connections ahead of need.
 
         Args:
@@ -317,7 +317,7 @@
         Raises:
             UpstreamLostError: If the upstream can't be reached.
         """
-        while self.is_accepting and self.open_count < min(count, self.present_limit):
+        while self.is_accepting and self.open_count < min(count, self.current_limit):
             self.opening += 1
             try:
                 connection = await self.opener.open(now_s() + OPEN_TIMEOUT_S)
@@ -332,5 +332,5 @@
                 raise
             self.opening -= 1
             self.keep_or_close(connection)
-            self.grant_places()
+            self.grant_slots()
         return self.open_count
--- a/ebonyrack/pooling/pool_places.py
+++ b/ebonyrack/pooling/pool_slots.py
@@ -14,67 +14,67 @@
 BORROWED_CONNECTIONS = 1
 
 
-class PoolPlaces(Generic[Connection]):
+class PoolSlots(Generic[Connection]):
     """Connections that count against the limit of one upstream.
 
     A place is an idle, busy or opening connection; there are never more places than
     the limit allows, except for what `may_borrow` says.
 
     Attributes:
-        limits: Largest number of places, now and without refusals.
-        work_limits: Largest number of connections on which the upstream works at
-            once, lowered while it turns statements away as its own queue is full.
+        size_limit: Largest number of places, now and without refusals.
+        concurrency_limit: Largest number of connections on which the upstream works
+            at once, lowered while it turns statements away as its own queue is full.
         idle: Connections that nobody uses, the one used last at the end.
         busy: Connections in use, with the monotonic time of the grant.
         idle_since_s: Monotonic time since which each idle connection is unused.
         opening: Number of connections being opened.
         is_accepting: Whether new work is taken.
-        keeps_unused: Whether a connection stays open that nobody waits for.
+        keeps_idle_connections: Whether a connection stays open that nobody waits for.
         refused_at_s: Monotonic time at which the upstream last refused a connection.
     """
 
     __slots__ = (
-        "limits",
-        "work_limits",
+        "size_limit",
+        "concurrency_limit",
         "idle",
         "busy",
         "idle_since_s",
         "opening",
         "is_accepting",
-        "keeps_unused",
+        "keeps_idle_connections",
         "refused_at_s",
     )
 
     def __init__(self, limit: int) -> None:
-        self.limits = ConnectionLimit(limit, self.grant_places)
-        self.work_limits = ConnectionLimit(limit, self.grant_places)
+        self.size_limit = ConnectionLimit(limit, self.grant_slots)
+        self.concurrency_limit = ConnectionLimit(limit, self.grant_slots)
         self.idle: list[Connection] = []
         self.busy: dict[Connection, float] = {}
         self.idle_since_s: dict[Connection, float] = {}
         self.opening = 0
         self.is_accepting = True
-        self.keeps_unused = True
+        self.keeps_idle_connections = True
         self.refused_at_s = float("-inf")
 
     @property
     def limit(self) -> int:
         """Largest number of places without refusals of the upstream."""
-        return self.limits.limit
+        return self.size_limit.limit
 
     @property
-    def present_limit(self) -> int:
+    def current_limit(self) -> int:
         """Largest number of places now."""
-        return self.limits.present
+        return self.size_limit.current
 
     @property
     def servers(self) -> int:
         """Connections that may be used at once now."""
-        return min(self.limits.present, self.work_limits.present)
+        return min(self.size_limit.current, self.concurrency_limit.current)
 
     @property
     def working_count(self) -> int:
         """Connections on which the upstream works, or that are being opened."""
-        return self.opening + sum(not each.is_resting for each in self.busy)
+        return self.opening + sum(not each.is_idle_in_transaction for each in self.busy)
 
     @property
     def open_count(self) -> int:
@@ -91,16 +91,16 @@
         """Connections in use or being opened for a caller."""
         return len(self.busy) + self.opening
 
-    def grant_places(self) -> None:
+    def grant_slots(self) -> None:
         """Serve waiters as long as there are places; the pool knows them."""
         raise NotImplementedError
 
-    def has_place(self) -> bool:
+    def has_free_slot(self) -> bool:
         """Whether a caller can be served without waiting for a release."""
-        if self.working_count >= self.work_limits.present:
+        if self.working_count >= self.concurrency_limit.current:
             return False
         self.drop_lost_idle()
-        if self.idle or self.open_count < self.present_limit:
+        if self.idle or self.open_count < self.current_limit:
             return True
         return self.may_borrow()
 
@@ -112,8 +112,10 @@
         """
         if now_s() - self.refused_at_s < REFUSED_LIMIT_S:
             return False
-        is_resting = any(connection.is_resting for connection in self.busy)
-        return is_resting and self.open_count < self.limit + BORROWED_CONNECTIONS
+        has_idle_transaction = any(each.is_idle_in_transaction for each in self.busy)
+        return (
+            has_idle_transaction and self.open_count < self.limit + BORROWED_CONNECTIONS
+        )
 
     def drop_lost_idle(self) -> None:
         """Forget idle connections that have ended meanwhile."""
@@ -127,7 +129,7 @@
             each: self.idle_since_s.get(each, 0.0) for each in self.idle
         }
 
-    def take_place(self) -> Connection | None:
+    def take_slot(self) -> Connection | None:
         """Take an idle connection, or the place of one to be opened (None)."""
         if not self.idle:
             self.opening += 1
@@ -143,7 +145,7 @@
         Args:
             connection: The connection, counted in no place.
         """
-        has_room = self.open_count < self.present_limit
+        has_room = self.open_count < self.current_limit
         if self.is_accepting and has_room and connection.is_clean:
             self.idle.append(connection)
             self.idle_since_s[connection] = now_s()
@@ -182,8 +184,8 @@
         Args:
             limit: New largest number of connections; at least 1 is kept.
         """
-        self.limits.limit = max(1, limit)
-        self.work_limits.limit = max(1, limit)
+        self.size_limit.limit = max(1, limit)
+        self.concurrency_limit.limit = max(1, limit)
         while self.idle and self.open_count > self.limit:
             self.drop_oldest()
-        self.grant_places()
+        self.grant_slots()
--- a/ebonyrack/pooling/pooled_connection.py
+++ b/ebonyrack/pooling/pooled_connection.py
@@ -13,7 +13,7 @@
         """Whether it is open and idle, with nothing due."""
 
     @property
-    def is_resting(self) -> bool:
+    def is_idle_in_transaction(self) -> bool:
         """Whether it is held by a transaction whose caller has asked for nothing."""
 
     def close(self) -> None:
--- a/ebonyrack/pooling/service_pace.py
+++ b/ebonyrack/pooling/wait_estimator.py
@@ -16,7 +16,7 @@
 EARLY_SHARE = -0.5
 
 
-class ServicePace:
+class WaitEstimator:
     """Service time of one kind of requests, which queues may share.
 
     Attributes:
@@ -30,7 +30,7 @@
         self.service_s = INITIAL_SERVICE_S
         self.next_retry_s = 0.0
 
-    def note_service(self, held_s: float) -> None:
+    def record_service_time(self, held_s: float) -> None:
         """Take a measurement of how long a connection was held.
 
         Args:
@@ -47,7 +47,7 @@
         """
         return ahead * self.service_s / max(1, servers)
 
-    def schedule_return(self, waiting: int, servers: int) -> float:
+    def schedule_retry(self, waiting: int, servers: int) -> float:
         """Hand out a time to come back, in seconds from now.
 
         Return times are handed out one after another at the rate at which requests
--- a/ebonyrack/routing/idempotency.py
+++ b/ebonyrack/routing/idempotency.py
@@ -16,7 +16,7 @@
 # The encoded key takes up to three times as much and must fit an index entry.
 MAXIMUM_KEY_BYTES = 800
 MAXIMUM_OUTCOME_BYTES = 12 * 1024
-DELETED_ROWS = 500
+DELETE_BATCH_ROWS = 500
 # No repeat can bring these to an end: the table is missing or not to be written.
 LASTING_FAULTS = frozenset({"42P01", "42501", "42703"})
 
@@ -167,7 +167,7 @@
         timeout_s: Seconds for each of the two steps.
 
     Returns:
-        Number of keys removed; call again while it is `DELETED_ROWS`.
+        Number of keys removed; call again while it is `DELETE_BATCH_ROWS`.
 
     Raises:
         RequestError: UNSUPPORTED or UPSTREAM_LOST if the upstream refuses.
@@ -179,7 +179,7 @@
     limit = present - datetime.timedelta(seconds=retention_s)
     delete = (
         f"DELETE FROM {REQUEST_TABLE} WHERE key IN (SELECT key FROM {REQUEST_TABLE}"
-        f" WHERE created_at < '{limit.isoformat(sep=' ')}' LIMIT {DELETED_ROWS})"
+        f" WHERE created_at < '{limit.isoformat(sep=' ')}' LIMIT {DELETE_BATCH_ROWS})"
     )
     answer = await connection.query(delete, timeout_s)
     raise_refusal(answer)
--- a/ebonyrack/routing/idempotency_test.py
+++ b/ebonyrack/routing/idempotency_test.py
@@ -128,7 +128,7 @@
 
 
 async def test_expired_keys_are_removed_in_bounded_steps(monkeypatch):
-    monkeypatch.setattr("ebonyrack.routing.idempotency.DELETED_ROWS", 2)
+    monkeypatch.setattr("ebonyrack.routing.idempotency.DELETE_BATCH_ROWS", 2)
     async with StandinGroup() as group:
         connection = await connect(group)
         for number in range(3):
--- a/ebonyrack/routing/read_machine_test.py
+++ b/ebonyrack/routing/read_machine_test.py
@@ -161,7 +161,7 @@
                 async with asyncio.timeout(REQUEST_S):
                     polled = await connection.read_answer()
                     status = CONTRACT.parse_status(polled.rows[0])
-                    placement = await overlap.judge(status)
+                    placement = await overlap.validate(status)
                     answer = await connection.read_answer()
                 is_standby = connection.is_standby
             finally:
--- a/ebonyrack/routing/read_overlap.py
+++ b/ebonyrack/routing/read_overlap.py
@@ -75,7 +75,7 @@
         self.asked_at_s = now_s()
         self.others = PollRound(group, others, group.majority - 1)
 
-    async def judge(self, status: UpstreamStatus | None) -> ReadPlacement | None:
+    async def validate(self, status: UpstreamStatus | None) -> ReadPlacement | None:
         """Tell whether what the read is shown covers what it must see.
 
         Args:
--- a/ebonyrack/routing/read_overlap_test.py
+++ b/ebonyrack/routing/read_overlap_test.py
@@ -35,7 +35,7 @@
 async def test_answer_that_shows_the_index_is_used(group, index):
     held = await group.write(5, "b", "c")
     overlap = start(group, index)
-    placement = await overlap.judge(group["b"].actual)
+    placement = await overlap.validate(group["b"].actual)
     assert (placement.minimum, placement.reason) == (held, "overlapped")
     assert placement.needs_replica and not placement.hold_until_confirmed
     assert index.history[-1].position == held
@@ -51,7 +51,7 @@
     overlap = start(group, index)
     # The replica has received the write or not, but does not show it.
     received = position if "b" in held_by else before.received
-    assert await overlap.judge(replace(before, received=received)) is None
+    assert await overlap.validate(replace(before, received=received)) is None
     assert choose(group, index) is None
     index.overlap_from_s = 0.0
     group["c"].is_leaving = False
@@ -65,7 +65,7 @@
     await group.write(5, "c")
     group["c"].hold.clear()
     overlap = start(group, index)
-    assert await overlap.judge(before) is None
+    assert await overlap.validate(before) is None
     assert group["a"].polls == 1
     group["c"].hold.set()
 
@@ -76,7 +76,7 @@
     overlap.search = replace(
         overlap.search, requirement=ReadRequirement(own_writes=own)
     )
-    assert await overlap.judge(group["b"].actual) is None
+    assert await overlap.validate(group["b"].actual) is None
 
 
 @pytest.mark.parametrize(
@@ -91,17 +91,17 @@
 )
 async def test_answer_of_another_term_or_role_is_dropped(group, index, change):
     overlap = start(group, index)
-    assert await overlap.judge(replace(group["b"].actual, **change)) is None
+    assert await overlap.validate(replace(group["b"].actual, **change)) is None
 
 
 async def test_answer_without_a_majority_is_dropped(group, index):
     overlap = start(group, index)
     group["a"].is_lost = group["c"].is_lost = True
-    assert await overlap.judge(group["b"].actual) is None
+    assert await overlap.validate(group["b"].actual) is None
 
 
 async def test_answer_without_a_status_is_dropped(group, index):
-    assert await start(group, index).judge(None) is None
+    assert await start(group, index).validate(None) is None
 
 
 @pytest.mark.parametrize(
@@ -153,4 +153,4 @@
     # Entries that a replaced primary left behind, which nobody else may ever hold.
     tail = LogPosition(1, 9)
     status = replace(group["b"].actual, term=2, received=tail, applied=tail)
-    assert await overlap.judge(status) is None
+    assert await overlap.validate(status) is None
--- a/ebonyrack/service/key_retention.py
+++ b/ebonyrack/service/key_retention.py
@@ -11,7 +11,7 @@
 from ebonyrack.core.errors import RequestError
 from ebonyrack.core.owner import Owner
 from ebonyrack.core.tasks import end_tasks
-from ebonyrack.routing.idempotency import DELETED_ROWS
+from ebonyrack.routing.idempotency import DELETE_BATCH_ROWS
 from ebonyrack.routing.idempotency import remove_expired
 from ebonyrack.upstreams.connection import UpstreamLostError
 
@@ -66,7 +66,7 @@
             for _ in range(MAXIMUM_STEPS):
                 count = await self.remove_some()
                 removed += count
-                if count < DELETED_ROWS:
+                if count < DELETE_BATCH_ROWS:
                     break
         except (RequestError, UpstreamLostError) as error:
             logger.bind(group=self.coordinator.group.name, reason=str(error)).warning(
--- a/ebonyrack/service/operator_handler.py
+++ b/ebonyrack/service/operator_handler.py
@@ -191,5 +191,5 @@
         "busy": upstream.pool.busy_count,
         "open": upstream.pool.open_count,
         "waiting": upstream.pool.waiting_count,
-        "limit": upstream.pool.present_limit,
+        "limit": upstream.pool.current_limit,
     }
--- a/ebonyrack/serving/transaction.py
+++ b/ebonyrack/serving/transaction.py
@@ -131,7 +131,7 @@
         self.used_at_s = now_s()
         self.has_written = self.has_written or run.writes
         if self.member is not None:
-            self.member.pool.grant_places()
+            self.member.pool.grant_slots()
         if reply.rejection is not None:
             raise build_failure(reply)
         return reply
@@ -279,7 +279,7 @@
             if reply.rejection is not RejectionKind.BUSY or not is_open:
                 return reply
             assert self.member is not None
-            self.member.pool.note_busy()
+            self.member.pool.record_overload()
             if run.time_left_s < 2 * BUSY_PAUSE_S:
                 return reply
             await asyncio.sleep(BUSY_PAUSE_S)
--- a/ebonyrack/serving/writing.py
+++ b/ebonyrack/serving/writing.py
@@ -127,7 +127,7 @@
     if reply.rejection is RejectionKind.READ_ONLY:
         run.group.note_not_leading(member)
     elif reply.rejection is RejectionKind.BUSY:
-        member.pool.note_busy()
+        member.pool.record_overload()
     log_failure(
         "write_not_run",
         request=run.request.log_id,
--- a/ebonyrack/standins/line_system.py
+++ b/ebonyrack/standins/line_system.py
@@ -119,7 +119,7 @@
         while not proxy.proxy.is_ready:
             await asyncio.sleep(0.01)
         # Tests begin on a platform that has been up for long.
-        proxy.proxy.was_settled = True
+        proxy.proxy.discovery_completed = True
         return proxy
 
     async def beat(self, upstream: LineUpstream, **changes: object) -> None:
--- a/ebonyrack/upstreams/connection.py
+++ b/ebonyrack/upstreams/connection.py
@@ -78,7 +78,7 @@
         return self.frames.lost_reason is not None
 
     @property
-    def is_resting(self) -> bool:
+    def is_idle_in_transaction(self) -> bool:
         """Whether it counts as unused; a transaction between statements does not."""
         return False
 
--- a/ebonyrack/upstreams/pool_machine_test.py
+++ b/ebonyrack/upstreams/pool_machine_test.py
@@ -18,8 +18,8 @@
 from ebonyrack.pooling import connection_limit
 from ebonyrack.pooling import connection_opener as opener_module
 from ebonyrack.pooling import pool as pool_module
-from ebonyrack.pooling import pool_places
-from ebonyrack.pooling import service_pace
+from ebonyrack.pooling import pool_slots
+from ebonyrack.pooling import wait_estimator
 from ebonyrack.upstreams import pool as postgresql_pool
 from ebonyrack.upstreams.connection import UpstreamLostError
 from ebonyrack.upstreams.pool import ConnectionPool
@@ -30,8 +30,8 @@
     connection_limit,
     opener_module,
     pool_module,
-    pool_places,
-    service_pace,
+    pool_slots,
+    wait_estimator,
 )
 SETTLE_STEPS = 20
 WAIT_S = 3600.0
@@ -42,7 +42,7 @@
 
     def __init__(self):
         self.is_clean = True
-        self.is_resting = False
+        self.is_idle_in_transaction = False
         self.users = 0
 
     def close(self):
@@ -176,7 +176,7 @@
         self.pool.resize(limit)
         self.settle()
 
-    @precondition(lambda self: self.pool.limits.refused_at_s is not None)
+    @precondition(lambda self: self.pool.size_limit.refused_at_s is not None)
     @rule()
     def let_time_pass(self):
         self.clock_s += 1.0
@@ -196,7 +196,7 @@
         self.settle()
 
     async def warm_up(self, count):
-        await self.pool.warm(count)
+        await self.pool.warm_up(count)
         raise UpstreamLostError("warm connections belong to nobody")
 
     @invariant()
@@ -215,7 +215,7 @@
         pool = self.pool
         assert len(pool.queue) <= pool.queue.limit
         if pool.queue:
-            assert not pool.has_place()
+            assert not pool.has_free_slot()
             assert pool.open_count > 0
 
     @invariant()
@@ -235,7 +235,7 @@
             assert self.pool.open_count == len(self.pool.idle) <= self.allowed
         finally:
             logger.enable(pool_module.__name__)
-            self.pool.limits.stop_raising()
+            self.pool.size_limit.stop_raising()
             postgresql_pool.open_connection = self.original
             self.clocks.undo()
             self.loop.close()
--- a/ebonyrack/upstreams/pool_test.py
+++ b/ebonyrack/upstreams/pool_test.py
@@ -49,16 +49,16 @@
 
 async def test_only_whole_service_counts_for_the_pace(upstream):
     async with build_pool(upstream, 1) as pool:
-        before_s = pool.queue.pace.service_s
+        before_s = pool.queue.estimator.service_s
         broken = await acquire(pool)
         pool.busy[broken] -= 60
         broken.close()
         pool.release(broken)
-        assert pool.queue.pace.service_s == before_s
+        assert pool.queue.estimator.service_s == before_s
         whole = await acquire(pool)
         pool.busy[whole] -= 60
         pool.release(whole)
-        assert pool.queue.pace.service_s > 1
+        assert pool.queue.estimator.service_s > 1
 
 
 async def test_broken_idle_connection_is_not_handed_out(upstream):
@@ -157,11 +157,11 @@
         held = [await acquire(pool), await acquire(pool)]
         waiter = acquire(pool)
         await wait_until(lambda: pool.waiting_count == 1)
-        assert pool.present_limit == 2
+        assert pool.current_limit == 2
         pool.release(held[0])
         assert await waiter is held[0]
-        pool.limits.refused_at_s -= 60
-        assert pool.present_limit == 5
+        pool.size_limit.refused_at_s -= 60
+        assert pool.current_limit == 5
 
 
 async def test_upstream_without_any_connection_to_spare_refuses(upstream):
@@ -204,12 +204,12 @@
 
 async def test_warm_connections_stay_within_the_limit(upstream):
     async with build_pool(upstream, 3) as pool:
-        assert await pool.warm(10) == 3
+        assert await pool.warm_up(10) == 3
         assert (pool.idle_count, upstream.opened) == (3, 3)
         upstream.limit = 3
         pool.resize(10)
-        assert await pool.warm(10) == 3
-        assert pool.present_limit == 3
+        assert await pool.warm_up(10) == 3
+        assert pool.current_limit == 3
 
 
 async def test_cancelled_opening_frees_its_place(upstream):
--- a/ebonyrack/upstreams/primary_wait.py
+++ b/ebonyrack/upstreams/primary_wait.py
@@ -6,7 +6,7 @@
 
 from ebonyrack.pooling.admission import AdmissionQueue
 from ebonyrack.pooling.admission import Waiter
-from ebonyrack.pooling.service_pace import ServicePace
+from ebonyrack.pooling.wait_estimator import WaitEstimator
 
 if TYPE_CHECKING:
     from ebonyrack.config.sections import GroupSection
@@ -55,9 +55,9 @@
             previous: The primary before it, or None.
         """
         if previous is not None:
-            previous.pool.queue.pace = ServicePace()
+            previous.pool.queue.estimator = WaitEstimator()
         if primary is not None:
-            primary.pool.queue.pace = self.queue.pace
+            primary.pool.queue.estimator = self.queue.estimator
 
     async def wait(
         self,
@@ -83,7 +83,7 @@
         if waiter.granted is not None:
             queue.insert(waiter)
         else:
-            servers = last_primary.pool.present_limit if last_primary else 1
+            servers = last_primary.pool.current_limit if last_primary else 1
             queue.add(waiter, servers)
         try:
             await self.changed.wait(wait_s, waiter.granted)
--- a/ebonyrack/upstreams/primary_wait_test.py
+++ b/ebonyrack/upstreams/primary_wait_test.py
@@ -65,11 +65,11 @@
     group.learn(1, "up-1")
     pools = {name: upstream.pool for name, upstream in group.upstreams.items()}
     for _ in range(100):
-        pools["up-1"].queue.pace.note_service(1.0)
+        pools["up-1"].queue.estimator.record_service_time(1.0)
     first = pools["up-2"].queue.build_refusal(ErrorKind.QUEUE_FULL, "", 1)
     group.learn(2, "up-2")
     second = pools["up-2"].queue.build_refusal(ErrorKind.QUEUE_FULL, "", 1)
     assert first.retry_after_s < 0.5 < second.retry_after_s
     # What the old one serves from now on are reads.
-    pools["up-1"].queue.pace.note_service(5.0)
-    assert pools["up-2"].queue.pace.service_s == pytest.approx(1.0, rel=0.01)
+    pools["up-1"].queue.estimator.record_service_time(5.0)
+    assert pools["up-2"].queue.estimator.service_s == pytest.approx(1.0, rel=0.01)
--- a/ebonyrack/upstreams/watch.py
+++ b/ebonyrack/upstreams/watch.py
@@ -102,7 +102,7 @@
         while True:
             if upstream.state == "answering" and upstream.pool.open_count == 0:
                 try:
-                    await upstream.pool.warm(WARM_CONNECTIONS)
+                    await upstream.pool.warm_up(WARM_CONNECTIONS)
                 except UpstreamLostError as error:
                     self.group.report_lost(upstream.name, error.reason)
             await self.group.changed.wait(WARM_INTERVAL_S)
