--- a/ebonyrack/members/group.py
+++ b/ebonyrack/members/group.py
@@ -100,7 +100,9 @@
         """Close connections that are unused and not kept."""
         for member in self.members.values():
             is_primary = member is self.primary
-            member.pool.keeps_unused = not (is_primary and self.is_short_of_connections)
+            member.pool.keeps_idle_connections = not (
+                is_primary and self.is_short_of_connections
+            )
             is_near = member.entry.data_centre == self.data_centre
             kept = compute_idle_limit(self.connection_share, is_near, is_primary)
             member.pool.trim_idle(kept, IDLE_LIMIT_S)
@@ -124,7 +126,7 @@
         if member is None:
             member = Member(entry, self.codec, self.connection_share)
             member.pool.set_weights(self.queue_weights)
-            member.pool.keeps_unused = not (
+            member.pool.keeps_idle_connections = not (
                 entry.reports_primary and self.is_short_of_connections
             )
             self.members[entry.member_id] = member
--- a/ebonyrack/members/member.py
+++ b/ebonyrack/members/member.py
@@ -172,7 +172,7 @@
         elif reply.rejection is not RejectionKind.READ_ONLY:
             self.deprioritize()
         if reply.rejection is RejectionKind.BUSY:
-            self.pool.note_busy()
+            self.pool.record_overload()
 
     def record_reply_time(self, elapsed_s: float) -> None:
         """Take a reply time into the averages."""
--- a/ebonyrack/members/read_candidates.py
+++ b/ebonyrack/members/read_candidates.py
@@ -86,7 +86,7 @@
 
 def estimate_answer_time(member: Member, caller: str) -> float:
     """Return how long a read takes at an upstream now, in seconds."""
-    return member.pool.expect_wait(caller) + member.expected_reply_s
+    return member.pool.estimate_wait(caller) + member.expected_reply_s
 
 
 def build_overload_error(member: Member, caller: str) -> RequestError:
@@ -118,7 +118,7 @@
         is_deprioritized=lacks or is_silent or now < member.deprioritized_until_s,
         is_shed=is_shed(group, member, read),
         latency_s=member.expected_reply_s,
-        expected_wait_s=member.pool.expect_wait(read.caller),
+        expected_wait_s=member.pool.estimate_wait(read.caller),
     )
 
 
--- a/ebonyrack/serving/writing.py
+++ b/ebonyrack/serving/writing.py
@@ -135,7 +135,7 @@
     if reply.rejection is RejectionKind.READ_ONLY:
         statement.group.record_not_primary(member)
     elif reply.rejection is RejectionKind.BUSY:
-        member.pool.note_busy()
+        member.pool.record_overload()
     log_failure(
         "write_not_run",
         request=statement.request.log_id,
