--- a/ebonyrack/callers/overlapping.py
+++ b/ebonyrack/callers/overlapping.py
@@ -120,10 +120,10 @@
         relay: The relay of the answer; what it collects goes to nobody.
     """
     with contextlib.suppress(UpstreamLostError):
-        message = relay.connection.take_message()
+        message = relay.connection.pop_message()
         while message is not None and message.kind != b"Z":
             relay.accept(message)
-            message = relay.connection.take_message()
+            message = relay.connection.pop_message()
 
 
 async def run_replica_read(
--- a/ebonyrack/callers/position_question.py
+++ b/ebonyrack/callers/position_question.py
@@ -13,7 +13,7 @@
 if TYPE_CHECKING:
     from ebonyrack.callers.session import CallerSession
     from ebonyrack.core.position import LogPosition
-    from ebonyrack.upstreams.connection import QueryAnswer
+    from ebonyrack.upstreams.connection import QueryResult
     from ebonyrack.upstreams.contract import EbonyrackContract
     from ebonyrack.upstreams.status import UpstreamStatus
 
@@ -102,7 +102,7 @@
 
 
 def read_polled_position(
-    contract: EbonyrackContract, answer: QueryAnswer
+    contract: EbonyrackContract, answer: QueryResult
 ) -> LogPosition:
     """Read the received position from the answer to a poll.
 
@@ -117,7 +117,7 @@
 
 
 def read_polled_status(
-    contract: EbonyrackContract, answer: QueryAnswer
+    contract: EbonyrackContract, answer: QueryResult
 ) -> UpstreamStatus:
     """Read the answer to a poll.
 
--- a/ebonyrack/callers/read_steps.py
+++ b/ebonyrack/callers/read_steps.py
@@ -68,7 +68,7 @@
         error: How it was lost.
         has_sent: Whether a part of the answer has gone to the caller.
     """
-    session.group.report_lost(upstream.name, error.reason)
+    session.group.report_connection_lost(upstream.name, error.reason)
     return ReadBrokenError(upstream.name, error.reason, has_sent)
 
 
--- a/ebonyrack/callers/relay.py
+++ b/ebonyrack/callers/relay.py
@@ -95,7 +95,7 @@
         """
         self.add_local_steps()
         while True:
-            message = self.connection.take_message()
+            message = self.connection.pop_message()
             if message is None:
                 message = await self.session.wait_for_message(self.connection)
             if message.kind == b"Z":
--- a/ebonyrack/callers/session_test.py
+++ b/ebonyrack/callers/session_test.py
@@ -165,7 +165,7 @@
         return await read_message(connection)
 
     read_message = UpstreamConnection.read_message
-    monkeypatch.setattr(UpstreamConnection, "take_message", lambda connection: None)
+    monkeypatch.setattr(UpstreamConnection, "pop_message", lambda connection: None)
     caller = await proxy.start_wire()
     monkeypatch.setattr(UpstreamConnection, "read_message", lose_once)
     assert kinds(await caller.query(COUNT)) == "TDCZ"
--- a/ebonyrack/callers/transaction.py
+++ b/ebonyrack/callers/transaction.py
@@ -192,7 +192,7 @@
         try:
             await take_upstream(session, placement.upstream, deadline_s)
         except UpstreamLostError as error:
-            group.report_lost(placement.upstream.name, error.reason)
+            group.report_connection_lost(placement.upstream.name, error.reason)
             raise RequestError(ErrorKind.UPSTREAM_LOST, error.reason) from error
         self.needs_confirmation = placement.hold_until_confirmed
         self.needs_replica = placement.needs_replica
@@ -292,7 +292,7 @@
         session = self.session
         connection = session.connection
         if connection is not None and not connection.is_clean:
-            if connection.answers_due > 0 and not connection.is_closed:
+            if connection.pending_replies > 0 and not connection.is_closed:
                 session.stop_statement(connection)
             connection.close()
         session.release_connection()
--- a/ebonyrack/callers/upstream_holder.py
+++ b/ebonyrack/callers/upstream_holder.py
@@ -23,7 +23,7 @@
     from ebonyrack.routing.read_index import ReadIndex
     from ebonyrack.service.services import Services
     from ebonyrack.upstreams.connection import Message
-    from ebonyrack.upstreams.connection import QueryAnswer
+    from ebonyrack.upstreams.connection import QueryResult
     from ebonyrack.upstreams.connection import UpstreamConnection
     from ebonyrack.upstreams.group import DatabaseGroup
     from ebonyrack.upstreams.upstream import Upstream
@@ -141,7 +141,7 @@
             await self.cancel_done.wait()
             self.cancel_done = None
 
-    async def read_control_answer(self) -> QueryAnswer:
+    async def read_control_answer(self) -> QueryResult:
         """Wait for the answer to a control query that was sent already.
 
         Returns:
@@ -212,7 +212,7 @@
             The error to raise.
         """
         if self.upstream is not None:
-            self.group.report_lost(self.upstream.name, error.reason)
+            self.group.report_connection_lost(self.upstream.name, error.reason)
         if self.connection is not None:
             self.connection.close()
         self.release_connection()
--- a/ebonyrack/callers/upstream_use.py
+++ b/ebonyrack/callers/upstream_use.py
@@ -22,7 +22,7 @@
 if TYPE_CHECKING:
     from ebonyrack.callers.session import CallerSession
     from ebonyrack.core.position import LogPosition
-    from ebonyrack.upstreams.connection import QueryAnswer
+    from ebonyrack.upstreams.connection import QueryResult
     from ebonyrack.upstreams.connection import UpstreamConnection
     from ebonyrack.upstreams.upstream import Upstream
 
@@ -68,7 +68,7 @@
         try:
             await take_upstream(session, upstream, deadline_s)
         except UpstreamLostError as error:
-            group.report_lost(upstream.name, error.reason)
+            group.report_connection_lost(upstream.name, error.reason)
             if now_s() >= deadline_s:
                 raise RequestError(ErrorKind.UPSTREAM_LOST, error.reason) from error
             await session.wait_before_sending(asyncio.sleep(PRIMARY_RETRY_S))
@@ -102,7 +102,7 @@
     session.hold_connection(upstream, connection)
 
 
-async def run_control(session: CallerSession, sql: str) -> QueryAnswer:
+async def run_control(session: CallerSession, sql: str) -> QueryResult:
     """Run a statement of the proxy's own before anything is committed.
 
     Args:
--- a/ebonyrack/failover/ballot.py
+++ b/ebonyrack/failover/ballot.py
@@ -12,7 +12,7 @@
 from ebonyrack.core.clock import now_s
 from ebonyrack.core.tasks import end_tasks
 from ebonyrack.upstreams.connection import UpstreamLostError
-from ebonyrack.upstreams.contract import FenceAnswer
+from ebonyrack.upstreams.contract import FenceResult
 from ebonyrack.upstreams.status import Role
 from ebonyrack.upstreams.status import UpstreamStatus
 
@@ -106,7 +106,7 @@
         self.excluded = excluded
         self.safeguards = safeguards
         self.on_promoted = on_promoted
-        self.grants: dict[str, FenceAnswer] = {}
+        self.grants: dict[str, FenceResult] = {}
         self.outcome = BallotOutcome(highest_term=term)
         self.tasks: set[asyncio.Task[None]] = set()
         LIFE_CYCLE.add_model(self)
@@ -243,7 +243,7 @@
         upstream = self.group.upstreams.get(name)
         if upstream is None:
             return False
-        return upstream.counted_log.holds(self.grants[name].received)
+        return upstream.confirmed_log.holds(self.grants[name].received)
 
     def rank_candidate(self, upstream: Upstream) -> tuple[LogPosition, bool, bool, str]:
         """Return the key by which candidates compare.
@@ -308,7 +308,7 @@
             start: Position of its term-start record.
         """
         leaving = winner.status is not None and winner.status.leaving
-        winner.note_status(
+        winner.record_status(
             UpstreamStatus(Role.PRIMARY, self.term, self.term, start, start, leaving),
             now_s(),
         )
@@ -328,7 +328,7 @@
                 )
         try:
             async with asyncio.timeout(OPEN_TIMEOUT_S):
-                opened = await self.group.wait_confirmed(start)
+                opened = await self.group.wait_for_majority(start)
         except TimeoutError:
             opened = False
         if not opened:
--- a/ebonyrack/failover/bench_test.py
+++ b/ebonyrack/failover/bench_test.py
@@ -168,12 +168,12 @@
         try:
             connection = await primary.pool.acquire("tests", deadline_s)
         except UpstreamLostError as error:
-            self.group.report_lost(primary.name, error.reason)
+            self.group.report_connection_lost(primary.name, error.reason)
             raise RequestError(ErrorKind.UPSTREAM_LOST, error.reason) from None
         try:
             position = await self.commit(connection, request, deadline_s)
         except UpstreamLostError as error:
-            self.group.report_lost(primary.name, error.reason)
+            self.group.report_connection_lost(primary.name, error.reason)
             raise RequestError(ErrorKind.OUTCOME_UNKNOWN, error.reason) from None
         finally:
             primary.pool.release(connection)
--- a/ebonyrack/failover/detector.py
+++ b/ebonyrack/failover/detector.py
@@ -87,7 +87,7 @@
             self.unfit_since_s = None
             reason = (
                 SuspicionReason.REFUSED
-                if primary.is_refused
+                if primary.refuses_connections
                 else SuspicionReason.SILENT
             )
             return Suspicion(reason, primary.answered_at_s or self.started_at_s)
@@ -102,7 +102,9 @@
         if now_s() - self.started_at_s < START_GRACE_S:
             return None
         reachable = [
-            upstream for upstream in self.group.upstreams.values() if upstream.may_count
+            upstream
+            for upstream in self.group.upstreams.values()
+            if upstream.counts_in_majority
         ]
         if len(reachable) < self.group.majority:
             return None
@@ -111,7 +113,7 @@
     def judge_unfit(self, primary: Upstream) -> Suspicion | None:
         """Judge a primary that answers but is no primary in the group's term."""
         answered_at_s = primary.answered_at_s or 0.0
-        if answered_at_s < (self.group.learned_at_s or 0.0):
+        if answered_at_s < (self.group.primary_learned_at_s or 0.0):
             return None
         if self.unfit_since_s is None:
             self.unfit_since_s = now_s()
@@ -129,7 +131,7 @@
         replicas = [
             upstream
             for upstream in self.group.upstreams.values()
-            if upstream is not primary and upstream.may_count
+            if upstream is not primary and upstream.counts_in_majority
         ]
         silent = [upstream for upstream in replicas if self.is_cut_off(upstream)]
         connected = len(replicas) - len(silent)
@@ -153,7 +155,7 @@
             upstream
             for upstream in self.group.upstreams.values()
             if upstream.name != self.group.primary_name
-            and upstream.may_count
+            and upstream.counts_in_majority
             and self.is_cut_off(upstream)
         ]
         return len(silent) >= self.group.majority
@@ -177,10 +179,10 @@
         if not upstream.is_following(self.group.term):
             return False
         if status.silence_s is None:
-            lag_s = self.group.history.compute_lag(status.received)
+            lag_s = self.group.primary_history.compute_lag(status.received)
             return lag_s > self.group.section.lag_refusal_s
         # A replica that has just been ordered to follow has not heard anything yet.
-        term_age_s = now_s() - (self.group.learned_at_s or 0.0)
+        term_age_s = now_s() - (self.group.primary_learned_at_s or 0.0)
         silence_s = min(status.silence_s, term_age_s)
         return silence_s > self.group.section.suspect_after_s
 
--- a/ebonyrack/failover/failover_test.py
+++ b/ebonyrack/failover/failover_test.py
@@ -7,7 +7,7 @@
 from ebonyrack.core.errors import RequestError
 from ebonyrack.failover.bench_test import until
 from ebonyrack.upstreams.connection import UpstreamLostError
-from ebonyrack.upstreams.group import LEAVING_PRIMARY_S
+from ebonyrack.upstreams.group import LEAVING_PRIMARY_GRACE_S
 
 
 async def write_some(proxy, first, count):
@@ -73,19 +73,19 @@
     bench = await start_bench(proxies=3)
     proxy = bench.by_rank()[0]
     upstream = proxy.group.upstreams["up-1"]
-    ask_status = upstream.ask_status
+    query_status = upstream.query_status
 
     async def fail(deadline_s):
         raise UpstreamLostError("the link is cut")
 
-    upstream.ask_status = fail
+    upstream.query_status = fail
     await until(lambda: upstream.state == "lost")
     for _ in range(20):
         await proxy.group.poll_all()
         await bench.proxies["proxy-1"].group.changed.wait(0.05)
     assert {item.group.primary_name for item in bench.proxies.values()} == {"up-1"}
     assert {item.group.term for item in bench.proxies.values()} == {1}
-    upstream.ask_status = ask_status
+    upstream.query_status = query_status
     await proxy.write("r-0")
 
 
@@ -186,7 +186,7 @@
     await connection.query("BEGIN", 5.0)
     outcome = await first.coordinator.switch_over(None)
     assert (outcome.succeeded, outcome.text) == (False, "transactions are still open")
-    assert second.group.hold_until_s == 0.0
+    assert second.group.writes_held_until_s == 0.0
     answer = await connection.query("COMMIT", 5.0)
     assert answer.error is None
     primary.pool.release(connection)
@@ -256,7 +256,7 @@
     async def fail(deadline_s):
         raise UpstreamLostError("the link is cut")
 
-    proxy.group.upstreams["up-1"].ask_status = fail
+    proxy.group.upstreams["up-1"].query_status = fail
     await until(lambda: proxy.group.upstreams["up-1"].state == "lost")
     for _ in range(20):
         await proxy.group.poll_all()
@@ -302,7 +302,7 @@
     await bench.standins.kill("up-2")
     await bench.standins.kill("up-3")
     proxy.group.mark_leaving("up-1", True)
-    proxy.group.leaving_since_s["up-1"] -= LEAVING_PRIMARY_S
+    proxy.group.leaving_since_s["up-1"] -= LEAVING_PRIMARY_GRACE_S
     with pytest.raises(RequestError) as caught:
         await proxy.write("r-0", wait_s=0.2)
     assert caught.value.kind is ErrorKind.NO_PRIMARY
--- a/ebonyrack/failover/pre_vote.py
+++ b/ebonyrack/failover/pre_vote.py
@@ -76,7 +76,7 @@
     answers = await asyncio.gather(*(ask_peer(hub, name, message) for name in voters))
     opinions = [opinion for opinion in answers if opinion is not None]
     for opinion in opinions:
-        group.learn(opinion.term, opinion.primary_name)
+        group.record_primary(opinion.term, opinion.primary_name)
     reached = sum(opinion.reachable for opinion in opinions)
     unreached = len(opinions) - reached
     if group.term > term:
@@ -136,7 +136,7 @@
         group = self.groups.get(message.group)
         if group is None:
             return PrimaryOpinion(False, 0, "")
-        group.learn(message.term, message.primary_name)
+        group.record_primary(message.term, message.primary_name)
         primary = group.upstreams.get(group.primary_name or "")
         reachable = primary is not None and await is_answering(group, primary)
         return PrimaryOpinion(reachable, group.term, group.primary_name or "")
@@ -150,7 +150,7 @@
         """
         group = self.groups.get(message.group)
         if group is not None:
-            group.learn(message.term, message.primary_name)
+            group.record_primary(message.term, message.primary_name)
 
     async def hold_writes(self, link: PeerLink, message: HoldWrites) -> Message:
         """Let new writes wait while a peer moves the primary.
--- a/ebonyrack/failover/renewal.py
+++ b/ebonyrack/failover/renewal.py
@@ -82,7 +82,7 @@
         """Remember when the group's term changed, whoever changed it."""
         if self.group.term != self.term:
             self.term = self.group.term
-            self.changes.append(self.group.learned_at_s or now_s())
+            self.changes.append(self.group.primary_learned_at_s or now_s())
 
     def list_ahead(self, primary: Upstream | None) -> list[Upstream]:
         """Return the upstreams that answer and are fenced above the primary's term.
@@ -122,7 +122,7 @@
             Whether the primary and the replicas that follow it are a majority.
         """
         following = sum(
-            upstream.may_count and upstream.is_following(self.group.term)
+            upstream.counts_in_majority and upstream.is_following(self.group.term)
             for upstream in self.group.upstreams.values()
             if upstream is not primary
         )
@@ -138,7 +138,9 @@
         Returns:
             Whether to renew the term.
         """
-        counting = sum(item.may_count for item in self.group.upstreams.values())
+        counting = sum(
+            item.counts_in_majority for item in self.group.upstreams.values()
+        )
         if counting < self.group.majority or self.ahead_since_s is None:
             return False
         if self.coordinator.switchover.is_moving:
--- a/ebonyrack/failover/safeguards_test.py
+++ b/ebonyrack/failover/safeguards_test.py
@@ -83,7 +83,7 @@
     async def fail(deadline_s):
         raise UpstreamLostError("the link is cut")
 
-    upstream.ask_status = fail
+    upstream.query_status = fail
     await until(lambda: upstream.state == "lost")
     if asks_peers:
         for _ in range(20):
--- a/ebonyrack/failover/slowness.py
+++ b/ebonyrack/failover/slowness.py
@@ -64,7 +64,7 @@
         if now_s() - self.tried_at_s < RETRY_S:
             return False
         pause_s = PAUSE_FACTOR * self.coordinator.renewal.compute_pause(is_urgent=False)
-        return now_s() - (self.group.learned_at_s or 0.0) >= pause_s
+        return now_s() - (self.group.primary_learned_at_s or 0.0) >= pause_s
 
     def can_replace(self, primary: Upstream) -> bool:
         """Tell whether the others would serve writes fast without the primary.
@@ -88,7 +88,7 @@
         Args:
             primary: The slow primary.
         """
-        answer_s = primary.answer_s or 0.0
+        answer_s = primary.poll_time_s or 0.0
         forced = self.tries >= UNFORCED_TRIES
         outcome = await self.coordinator.switchover.run(None, forced)
         self.tries = 0 if outcome.succeeded else self.tries + 1
--- a/ebonyrack/failover/slowness_test.py
+++ b/ebonyrack/failover/slowness_test.py
@@ -70,13 +70,13 @@
     await until(bench.is_ranked)
     first = bench.by_rank()[0]
     upstream = first.group.upstreams["up-1"]
-    ask_status = upstream.ask_status
+    query_status = upstream.query_status
 
     async def ask_slowly(deadline_s):
         await asyncio.sleep(DELAY_S)
-        return await ask_status(deadline_s)
+        return await query_status(deadline_s)
 
-    upstream.ask_status = ask_slowly
+    upstream.query_status = ask_slowly
     if not asks_peers:
         await until(lambda: first.group.term > 1)
         return
@@ -103,12 +103,12 @@
     bench = await start_bench(slow_answer_s=0.05, slow_after_s=0.001)
     upstream = bench.proxies["proxy-1"].group.upstreams["up-1"]
     upstream.slow_since_s = now_s() - 60.0
-    upstream.slow_answers = 100
+    upstream.slow_poll_count = 100
     upstream.answered_at_s = now_s()
     assert upstream.is_slow
-    upstream.note_answer_time(0.04)
+    upstream.record_poll_time(0.04)
     assert not upstream.is_slow
-    upstream.note_answer_time(0.06)
+    upstream.record_poll_time(0.06)
     assert not upstream.is_slow
     # A pause of this process makes one poll slow, however long it was.
     upstream.slow_since_s = now_s() - 60.0
--- a/ebonyrack/failover/switchover.py
+++ b/ebonyrack/failover/switchover.py
@@ -67,7 +67,7 @@
     @property
     def is_moving(self) -> bool:
         """Whether this proxy or a peer moves the primary now."""
-        return self.lock.locked() or self.group.hold_until_s > now_s()
+        return self.lock.locked() or self.group.writes_held_until_s > now_s()
 
     async def check(self) -> None:
         """Move the primary if it is leaving."""
--- a/ebonyrack/platform/caller_codec.py
+++ b/ebonyrack/platform/caller_codec.py
@@ -13,10 +13,10 @@
 from ebonyrack.core.line_stream import LineStream
 from ebonyrack.core.line_stream import LineTooLongError
 from ebonyrack.core.registry import Registry
-from ebonyrack.platform.words import ERROR_WORDS
-from ebonyrack.platform.words import LINE_END
-from ebonyrack.platform.words import NOTHING
-from ebonyrack.platform.words import STATE_LETTERS
+from ebonyrack.platform.line_protocol import ERROR_CODES
+from ebonyrack.platform.line_protocol import LINE_END
+from ebonyrack.platform.line_protocol import NO_VALUE
+from ebonyrack.platform.line_protocol import STATE_CODES
 from ebonyrack.requests.codec import CALLER_CODECS
 from ebonyrack.requests.codec import BadRequest
 from ebonyrack.requests.reply import Answer
@@ -56,9 +56,9 @@
         try:
             words = (await stream.read_line()).split(b" ", STARTUP_FIELDS - 1)
         except LineTooLongError:
-            return Err(BadRequest(NOTHING, "the message is too long", True))
+            return Err(BadRequest(NO_VALUE, "the message is too long", True))
         if len(words) != STARTUP_FIELDS or words[0] != b"STARTUP" or not words[1]:
-            return Err(BadRequest(NOTHING, "not a startup message", True))
+            return Err(BadRequest(NO_VALUE, "not a startup message", True))
         return Ok(words[1])
 
     async def read_request(
@@ -78,12 +78,12 @@
         try:
             line = await stream.read_line()
         except LineTooLongError:
-            return Err(BadRequest(NOTHING, "the message is too long", True))
+            return Err(BadRequest(NO_VALUE, "the message is too long", True))
         if line == b"TERMINATE":
             return Ok(None)
         words = line.split(b" ", QUERY_FIELDS - 1)
         if len(words) != QUERY_FIELDS or words[0] != b"QUERY" or not words[1]:
-            return Err(BadRequest(NOTHING, "not a query message"))
+            return Err(BadRequest(NO_VALUE, "not a query message"))
         return parse_statement(words[1], words[2])
 
     def encode_started(self) -> bytes:
@@ -100,14 +100,14 @@
         if answer.error is not None:
             parts.append(encode_error(answer.error))
         else:
-            parts.append(b"COMPLETE %b\r\n" % (answer.signature or NOTHING))
+            parts.append(b"COMPLETE %b\r\n" % (answer.signature or NO_VALUE))
         parts.append(encode_ready(answer.state))
         return b"".join(parts)
 
 
 def encode_ready(state: TransactionState) -> bytes:
     """Return the end of an answer; callers need no position."""
-    return b"READY %b %b\r\n" % (STATE_LETTERS[state], NOTHING)
+    return b"READY %b %b\r\n" % (STATE_CODES[state], NO_VALUE)
 
 
 def encode_error(error: RequestError) -> bytes:
@@ -116,7 +116,7 @@
     if error.retry_after_s is not None:
         text = f"{text}; retry after {round(error.retry_after_s * 1000)} ms"
     plain = text.replace("\r", " ").replace("\n", " ")
-    return b"ERROR %b %b" % (ERROR_WORDS[error.kind], plain.encode()) + LINE_END
+    return b"ERROR %b %b" % (ERROR_CODES[error.kind], plain.encode()) + LINE_END
 
 
 def parse_statement(request_id: bytes, text: bytes) -> Result[Request, BadRequest]:
@@ -132,7 +132,7 @@
     word = text.partition(b" ")[0].decode("ascii", "replace")
     parse = STATEMENTS.entries.get(word)
     request = parse(request_id, text) if parse is not None else None
-    if request is None or request_id == NOTHING:
+    if request is None or request_id == NO_VALUE:
         return Err(BadRequest(request_id, "the statement is not known"))
     return Ok(request)
 
--- a/ebonyrack/platform/caller_codec_test.py
+++ b/ebonyrack/platform/caller_codec_test.py
@@ -12,7 +12,7 @@
 from ebonyrack.core.line_stream import StreamLostError
 from ebonyrack.platform.caller_codec import LineCallerCodec
 from ebonyrack.platform.caller_codec import parse_statement
-from ebonyrack.platform.words import ERROR_WORDS
+from ebonyrack.platform.line_protocol import ERROR_CODES
 from ebonyrack.requests.reply import Answer
 from ebonyrack.requests.reply import TransactionState
 from ebonyrack.requests.request import Request
@@ -132,4 +132,4 @@
         ErrorKind.ALREADY_RAN,
         ErrorKind.CANCELLED,
     }
-    assert set(ERROR_WORDS) == set(ErrorKind) - foreign
+    assert set(ERROR_CODES) == set(ErrorKind) - foreign
--- a/ebonyrack/platform/words.py
+++ b/ebonyrack/platform/line_protocol.py
@@ -8,16 +8,16 @@
 
 LINE_END = b"\r\n"
 # Stands for a missing id, signature or position.
-NOTHING = b"-"
+NO_VALUE = b"-"
 
-STATE_LETTERS: dict[TransactionState, bytes] = {
+STATE_CODES: dict[TransactionState, bytes] = {
     TransactionState.IDLE: b"I",
     TransactionState.OPEN: b"T",
     TransactionState.FAILED: b"E",
 }
-STATES = {letter: state for state, letter in STATE_LETTERS.items()}
+STATES_BY_CODE = {letter: state for state, letter in STATE_CODES.items()}
 
-REJECTIONS: dict[bytes, RejectionKind] = {
+REJECTIONS_BY_CODE: dict[bytes, RejectionKind] = {
     b"BUSY": RejectionKind.BUSY,
     b"LAGGING": RejectionKind.LAGGING,
     b"READONLY": RejectionKind.READ_ONLY,
@@ -30,7 +30,7 @@
 
 # BUSY and ABORTED promise the caller that nothing of its attempt is kept; the kinds
 # listed with them are raised only where that is so.
-ERROR_WORDS: dict[ErrorKind, bytes] = {
+ERROR_CODES: dict[ErrorKind, bytes] = {
     ErrorKind.QUEUE_FULL: b"BUSY",
     ErrorKind.WAIT_TOO_LONG: b"BUSY",
     ErrorKind.NO_PRIMARY: b"BUSY",
--- a/ebonyrack/platform/promotion_calls.py
+++ b/ebonyrack/platform/promotion_client.py
@@ -23,7 +23,7 @@
 REFUSED_BY_TOKEN = 409
 
 
-class PromotionCalls(Owner):
+class PromotionClient(Owner):
     """Client of the promotion calls: an async context manager.
 
     Attributes:
--- a/ebonyrack/platform/assembly.py
+++ b/ebonyrack/platform/proxy.py
@@ -13,8 +13,8 @@
 from ebonyrack.platform import route_document
 from ebonyrack.platform import upstream_codec  # noqa: F401 (fills the registry)
 from ebonyrack.platform.kv_store import KvStore
-from ebonyrack.platform.promotion_calls import PromotionCalls
-from ebonyrack.platform.ready_probe import ReadyProbe
+from ebonyrack.platform.promotion_client import PromotionClient
+from ebonyrack.platform.readiness_server import ReadinessServer
 from ebonyrack.requests.codec import CALLER_CODECS
 from ebonyrack.requests.codec import UPSTREAM_CODECS
 
@@ -36,7 +36,7 @@
 
     def __init__(self, settings: RouteProxySettings) -> None:
         self.store = KvStore(settings.store_address)
-        self.orders = PromotionCalls(settings.order_address)
+        self.orders = PromotionClient(settings.order_address)
         surroundings = Surroundings(
             store=self.store,
             orders=self.orders,
@@ -48,7 +48,9 @@
             decode_entry=member_entries.decode_entry,
         )
         self.proxy = RouteProxy(settings, surroundings)
-        self.probe = ReadyProbe(settings.ready_address, lambda: self.proxy.is_ready)
+        self.probe = ReadinessServer(
+            settings.ready_address, lambda: self.proxy.is_ready
+        )
         self.stack = AsyncExitStack()
 
     async def start(self) -> None:
--- a/ebonyrack/platform/ready_probe.py
+++ b/ebonyrack/platform/readiness_server.py
@@ -17,7 +17,7 @@
 IDLE_S = 30.0
 
 
-class ReadyProbe(Owner):
+class ReadinessServer(Owner):
     """A small HTTP server.
 
     Attributes:
--- a/ebonyrack/platform/upstream_codec.py
+++ b/ebonyrack/platform/upstream_codec.py
@@ -12,10 +12,10 @@
 from ebonyrack.core.line_stream import LineTooLongError
 from ebonyrack.core.line_stream import StreamLostError
 from ebonyrack.core.position import LogPosition
-from ebonyrack.platform.words import LINE_END
-from ebonyrack.platform.words import NOTHING
-from ebonyrack.platform.words import REJECTIONS
-from ebonyrack.platform.words import STATES
+from ebonyrack.platform.line_protocol import LINE_END
+from ebonyrack.platform.line_protocol import NO_VALUE
+from ebonyrack.platform.line_protocol import REJECTIONS_BY_CODE
+from ebonyrack.platform.line_protocol import STATES_BY_CODE
 from ebonyrack.requests.codec import UPSTREAM_CODECS
 from ebonyrack.requests.reply import RejectionKind
 from ebonyrack.requests.reply import Reply
@@ -77,7 +77,7 @@
         if request.after is not None:
             after = request.after
             text = b"AFTER %d.%d %b" % (after.term, after.offset, text)
-        return b"QUERY %b %b\r\n" % (request.request_id or NOTHING, text)
+        return b"QUERY %b %b\r\n" % (request.request_id or NO_VALUE, text)
 
     async def read_reply(self, stream: LineStream) -> Reply:
         """Read the answer to the oldest statement without one.
@@ -109,7 +109,7 @@
                 reply.signature = rest
             elif word == b"ERROR":
                 code, _, detail = rest.partition(b" ")
-                reply.rejection = REJECTIONS.get(code, RejectionKind.OTHER)
+                reply.rejection = REJECTIONS_BY_CODE.get(code, RejectionKind.OTHER)
                 reply.detail = f"{code.decode('ascii', 'replace')} " + detail.decode(
                     "utf-8", "replace"
                 )
@@ -152,10 +152,10 @@
 def read_ready(stream: LineStream, reply: Reply, rest: bytes) -> Reply:
     """Read the end of a reply."""
     letter, _, position = rest.partition(b" ")
-    if letter not in STATES:
+    if letter not in STATES_BY_CODE:
         raise lose(stream, f"the upstream is in state {letter[:20]!r}")
-    reply.state = STATES[letter]
-    if position != NOTHING:
+    reply.state = STATES_BY_CODE[letter]
+    if position != NO_VALUE:
         try:
             reply.position = parse_dotted(position)
         except ValueError as error:
--- a/ebonyrack/routing/conftest.py
+++ b/ebonyrack/routing/conftest.py
@@ -48,11 +48,11 @@
         )
 
     @property
-    def may_count(self) -> bool:
+    def counts_in_majority(self) -> bool:
         """Whether it may count in a majority."""
         return self.is_reachable and not self.is_regressed
 
-    def note_status(self, status: UpstreamStatus, asked_at_s: float) -> None:
+    def record_status(self, status: UpstreamStatus, asked_at_s: float) -> None:
         """Keep an answer of another connection."""
         self.status = status
 
@@ -107,12 +107,12 @@
         self.primary_name = "a"
         self.majority = 2
         self.lag_s = 0.0
-        self.history = SimpleNamespace(compute_lag=lambda position: self.lag_s)
+        self.primary_history = SimpleNamespace(compute_lag=lambda position: self.lag_s)
 
     def __getitem__(self, name: str) -> FakeUpstream:
         return self.upstreams[name]
 
-    def note_request(self) -> None:
+    def record_request(self) -> None:
         """Ignore that the group carries requests."""
 
     def primary(self) -> FakeUpstream | None:
--- a/ebonyrack/routing/idempotency.py
+++ b/ebonyrack/routing/idempotency.py
@@ -9,7 +9,7 @@
 
 from ebonyrack.core.errors import ErrorKind
 from ebonyrack.core.errors import RequestError
-from ebonyrack.upstreams.connection import QueryAnswer
+from ebonyrack.upstreams.connection import QueryResult
 from ebonyrack.upstreams.connection import UpstreamConnection
 
 REQUEST_TABLE = "ebonyrack_requests"
@@ -186,7 +186,7 @@
     return int(answer.tag.rpartition(" ")[2])
 
 
-def raise_refusal(answer: QueryAnswer) -> None:
+def raise_refusal(answer: QueryResult) -> None:
     """Raise the error that an upstream answered, if it did.
 
     Args:
--- a/ebonyrack/routing/read_overlap.py
+++ b/ebonyrack/routing/read_overlap.py
@@ -90,7 +90,7 @@
         if status is None:
             self.log_dropped("no_status", None, None)
             return None
-        self.replica.note_status(status, self.asked_at_s)
+        self.replica.record_status(status, self.asked_at_s)
         if self.replica.is_regressed:
             self.log_dropped("regressed", status, None)
             return None
@@ -164,7 +164,7 @@
         or group.section.read_policy != "quorum"
     ):
         return None
-    group.note_request()
+    group.record_request()
     search = Search(group, read_index, requirement, deadline_s, frozenset(), started_s)
     replica = choose_replica(search, find_latest(search))
     if replica is None or not has_idle_connection(replica.pool):
--- a/ebonyrack/routing/read_placement.py
+++ b/ebonyrack/routing/read_placement.py
@@ -68,7 +68,7 @@
     """
     search = Search(group, read_index, requirement, deadline_s, excluded, now_s())
     policy = READ_POLICIES.get(group.section.read_policy)
-    group.note_request()
+    group.record_request()
     try:
         async with asyncio.timeout(deadline_s - search.started_s):
             placement = await policy(search)
--- a/ebonyrack/routing/read_round.py
+++ b/ebonyrack/routing/read_round.py
@@ -127,7 +127,7 @@
     replicas = [
         upstream
         for upstream in upstreams
-        if upstream.may_count and upstream.name != group.primary_name
+        if upstream.counts_in_majority and upstream.name != group.primary_name
     ]
     return replicas if len(replicas) >= needed else upstreams
 
--- a/ebonyrack/routing/read_search.py
+++ b/ebonyrack/routing/read_search.py
@@ -240,7 +240,7 @@
     """
     if upstream.status is None:
         return 0.0
-    return group.history.compute_lag(upstream.status.applied)
+    return group.primary_history.compute_lag(upstream.status.applied)
 
 
 def find_primary(search: Search, minimum: LogPosition) -> Upstream | None:
--- a/ebonyrack/routing/write_path.py
+++ b/ebonyrack/routing/write_path.py
@@ -136,7 +136,7 @@
         RequestError: NO_PRIMARY or REPLICAS_LAG; the write did not run.
     """
     if group.primary() is None:
-        raise group.build_no_primary()
+        raise group.build_no_primary_error()
     ACKNOWLEDGE_POLICIES.get(group.section.acknowledge_policy)().check_admitted(group)
 
 
@@ -165,7 +165,7 @@
         await ACKNOWLEDGE_POLICIES.get(policy_name)().acknowledge(
             group, position, deadline_s
         )
-        group.note_acknowledged(position.term)
+        group.record_acknowledgement(position.term)
     except RequestError as error:
         outcome = str(error.kind)
         raise
--- a/ebonyrack/scripts/route_daemon.py
+++ b/ebonyrack/scripts/route_daemon.py
@@ -20,7 +20,7 @@
 from ebonyrack.core.address import parse_address
 from ebonyrack.core.route_settings import RouteProxySettings
 from ebonyrack.core.tasks import end_tasks
-from ebonyrack.platform.assembly import PlatformProxy
+from ebonyrack.platform.proxy import PlatformProxy
 from ebonyrack.platform.settings_file import PATH_VARIABLE
 from ebonyrack.platform.settings_file import parse_settings
 from ebonyrack.scripts.settings_text import print_faults
--- a/ebonyrack/standins/line_system.py
+++ b/ebonyrack/standins/line_system.py
@@ -11,7 +11,7 @@
 from ebonyrack.core.owner import Owner
 from ebonyrack.core.route_settings import RouteProxySettings
 from ebonyrack.core.tasks import end_tasks
-from ebonyrack.platform.assembly import PlatformProxy
+from ebonyrack.platform.proxy import PlatformProxy
 from ebonyrack.standins.kv_service import KvService
 from ebonyrack.standins.line_group import LineGroup
 from ebonyrack.standins.line_upstream import LineUpstream
--- a/ebonyrack/upstreams/confirming.py
+++ b/ebonyrack/upstreams/confirmation.py
@@ -17,7 +17,7 @@
 CONTROL_TIMEOUT_S = 0.5
 
 
-async def confirm_once(group: DatabaseGroup, position: LogPosition) -> bool:
+async def try_confirm(group: DatabaseGroup, position: LogPosition) -> bool:
     """Try to confirm a write in what is the present term.
 
     Args:
@@ -31,12 +31,12 @@
         RequestError: UPSTREAM_LOST if a change of primary has undone it.
     """
     if position.term > group.term:
-        group.wake_probes()
+        group.wake_monitors()
         await group.changed.wait(RETRY_PAUSE_S)
         return False
     if position.term < group.term:
         return await confirm_in_history(group, position)
-    confirmed = await group.wait_confirmed(position)
+    confirmed = await group.wait_for_majority(position)
     return confirmed and position.term == group.term
 
 
@@ -69,7 +69,7 @@
         await group.changed.wait(RETRY_PAUSE_S)
         return False
     # The log that answered counts only once a majority holds it too.
-    if not await group.wait_confirmed(holds.received):
+    if not await group.wait_for_majority(holds.received):
         return False
     if not holds.held:
         raise RequestError(
--- a/ebonyrack/upstreams/confirmations.py
+++ b/ebonyrack/upstreams/confirmation_tracker.py
@@ -17,7 +17,7 @@
 
 
 @dataclass(order=True, slots=True)
-class Confirmation:
+class PendingConfirmation:
     """One write that waits.
 
     Attributes:
@@ -31,7 +31,7 @@
     outcome: asyncio.Future[bool] = field(compare=False)
 
 
-class Confirmations:
+class ConfirmationTracker:
     """The waiting writes of one term and what each replica holds of it.
 
     A replica counts only while it follows the term and has granted no higher one:
@@ -66,7 +66,7 @@
         self.needed = needed
         self.held: dict[str, int] = {}
         self.confirmed = 0
-        self.waiting: list[Confirmation] = []
+        self.waiting: list[PendingConfirmation] = []
         self.added = Signal()
         self.numbers = itertools.count()
 
@@ -121,7 +121,9 @@
         if offset <= self.confirmed or self.needed == 0:
             return True
         outcome: asyncio.Future[bool] = asyncio.get_running_loop().create_future()
-        heapq.heappush(self.waiting, Confirmation(offset, next(self.numbers), outcome))
+        heapq.heappush(
+            self.waiting, PendingConfirmation(offset, next(self.numbers), outcome)
+        )
         self.added.notify()
         try:
             return await outcome
--- a/ebonyrack/upstreams/confirmations_test.py
+++ b/ebonyrack/upstreams/confirmation_tracker_test.py
@@ -1,7 +1,7 @@
 import asyncio
 
 from ebonyrack.core.position import LogPosition
-from ebonyrack.upstreams.confirmations import Confirmations
+from ebonyrack.upstreams.confirmation_tracker import ConfirmationTracker
 from ebonyrack.upstreams.status import Role
 from ebonyrack.upstreams.status import UpstreamStatus
 
@@ -22,7 +22,7 @@
 
 
 async def test_as_many_replicas_as_needed_confirm():
-    confirmations = Confirmations(TERM, "up-1", 2)
+    confirmations = ConfirmationTracker(TERM, "up-1", 2)
     confirmations.observe("up-2", build_status(7))
     assert not await is_confirmed(confirmations, 7)
     confirmations.observe("up-2", build_status(9))
@@ -33,7 +33,7 @@
 
 
 async def test_answers_that_prove_nothing_for_the_term_are_not_counted():
-    confirmations = Confirmations(TERM, "up-1", 1)
+    confirmations = ConfirmationTracker(TERM, "up-1", 1)
     # The primary restarted and answers as a replica of its own term.
     confirmations.observe("up-1", build_status(9))
     confirmations.observe("up-2", build_status(9, role=Role.PRIMARY))
@@ -45,7 +45,7 @@
 
 
 async def test_replica_that_lost_its_log_is_not_counted_with_what_it_held():
-    confirmations = Confirmations(TERM, "up-1", 2)
+    confirmations = ConfirmationTracker(TERM, "up-1", 2)
     confirmations.observe("up-2", build_status(9))
     confirmations.forget("up-2")
     confirmations.observe("up-3", build_status(9))
@@ -55,7 +55,7 @@
 
 
 async def test_end_of_the_term_is_told_to_all_who_wait():
-    confirmations = Confirmations(TERM, "up-1", 1)
+    confirmations = ConfirmationTracker(TERM, "up-1", 1)
     waiting = [asyncio.create_task(confirmations.wait(offset)) for offset in (3, 1, 2)]
     await asyncio.sleep(0)
     assert confirmations.find_lowest_missing("up-2") == 1
--- a/ebonyrack/upstreams/counted_log.py
+++ b/ebonyrack/upstreams/confirmed_log.py
@@ -7,7 +7,7 @@
 from ebonyrack.core.position import LogPosition
 
 
-class CountedLog:
+class ConfirmedLog:
     """The part of an upstream's log that made a majority for confirmed writes.
 
     No change of primary cuts a confirmed position out of a log. An upstream that
--- a/ebonyrack/upstreams/counted_log_test.py
+++ b/ebonyrack/upstreams/confirmed_log_test.py
@@ -1,13 +1,13 @@
 from ebonyrack.core.clock import now_s
 from ebonyrack.core.position import START
 from ebonyrack.core.position import LogPosition
-from ebonyrack.upstreams.counted_log import CountedLog
+from ebonyrack.upstreams.confirmed_log import ConfirmedLog
 
 COUNTED = LogPosition(2, 10)
 
 
 def test_answer_asked_for_before_the_count_proves_no_loss():
-    log = CountedLog()
+    log = ConfirmedLog()
     asked_at_s = now_s()
     log.count(COUNTED)
     assert not log.observe(LogPosition(2, 9), asked_at_s)
@@ -15,7 +15,7 @@
 
 
 def test_no_position_at_or_past_the_counted_one_is_a_loss():
-    log = CountedLog()
+    log = ConfirmedLog()
     log.count(COUNTED)
     log.count(LogPosition(2, 4))
     for received in (COUNTED, LogPosition(2, 11), LogPosition(3, 11)):
@@ -24,7 +24,7 @@
 
 
 def test_lost_log_counts_once_it_holds_what_the_primary_held_after_the_loss():
-    log = CountedLog()
+    log = ConfirmedLog()
     log.count(COUNTED)
     asked_before_s = now_s()
     assert log.observe(START, asked_before_s + 1)
--- a/ebonyrack/upstreams/connection.py
+++ b/ebonyrack/upstreams/connection.py
@@ -10,9 +10,9 @@
 from pygwire.messages import Query
 
 from ebonyrack.core.address import Address
-from ebonyrack.upstreams.answers_due import count_answers_due
-from ebonyrack.upstreams.query_answer import QueryAnswer
-from ebonyrack.upstreams.query_answer import read_query_answer
+from ebonyrack.upstreams.expected_replies import count_expected_replies
+from ebonyrack.upstreams.query_result import QueryResult
+from ebonyrack.upstreams.query_result import read_query_result
 from ebonyrack.upstreams.transport import HEADER_BYTES
 from ebonyrack.upstreams.transport import FrameTransport
 from ebonyrack.upstreams.transport import Message
@@ -21,7 +21,7 @@
 
 __all__ = [
     "Message",
-    "QueryAnswer",
+    "QueryResult",
     "UpstreamConnection",
     "UpstreamLostError",
 ]
@@ -38,7 +38,7 @@
         process_id: Process number for cancel requests.
         secret_key: Secret for cancel requests.
         transaction_status: `I` idle, `T` in a transaction, `E` in a failed one.
-        answers_due: ReadyForQuery messages still to come.
+        pending_replies: ReadyForQuery messages still to come.
         is_unsynced: Whether messages were sent that no Sync has closed yet.
         is_cancelled: Whether a cancel request was sent; it may strike late.
         is_standby: Whether the upstream last said that it is a replica; None if it
@@ -53,7 +53,7 @@
         "process_id",
         "secret_key",
         "transaction_status",
-        "answers_due",
+        "pending_replies",
         "is_unsynced",
         "is_cancelled",
         "is_standby",
@@ -66,7 +66,7 @@
         self.process_id = 0
         self.secret_key = b""
         self.transaction_status = "I"
-        self.answers_due = 0
+        self.pending_replies = 0
         self.is_unsynced = False
         self.is_cancelled = False
         self.is_standby: bool | None = None
@@ -89,7 +89,7 @@
             not self.is_closed
             and not self.is_cancelled
             and not self.is_unsynced
-            and self.answers_due == 0
+            and self.pending_replies == 0
             and self.transaction_status == "I"
             and not self.frames.buffer
         )
@@ -104,16 +104,16 @@
             UpstreamLostError: If the connection has ended.
             ValueError: If the data does not end with a whole message.
         """
-        due, is_unsynced = count_answers_due(data, self.is_unsynced)
+        due, is_unsynced = count_expected_replies(data, self.is_unsynced)
         self.frames.write(data)
-        self.answers_due += due
+        self.pending_replies += due
         self.is_unsynced = is_unsynced
 
     async def drain(self) -> None:
         """Wait until the queue of bytes to send is short."""
         await self.frames.drain()
 
-    def take_message(self) -> Message | None:
+    def pop_message(self) -> Message | None:
         """Take a message that has already arrived, or return None.
 
         Raises:
@@ -179,13 +179,13 @@
             UpstreamLostError: If none was due or its status is unknown.
         """
         status = chr(message.raw[-1])
-        if self.answers_due == 0 or status not in TRANSACTION_STATUSES:
+        if self.pending_replies == 0 or status not in TRANSACTION_STATUSES:
             self.frames.close("the upstream sent a ReadyForQuery that was not due")
             raise UpstreamLostError(self.frames.lost_reason or "")
-        self.answers_due -= 1
+        self.pending_replies -= 1
         self.transaction_status = status
 
-    async def query(self, sql: str, timeout_s: float) -> QueryAnswer:
+    async def query(self, sql: str, timeout_s: float) -> QueryResult:
         """Run a simple query and read its whole answer.
 
         A query that is given up on closes the connection, since its answer would
@@ -227,12 +227,12 @@
 
     def check_no_answer_due(self) -> None:
         """Raise UpstreamLostError while the answer to an earlier request is due."""
-        if self.answers_due or self.is_unsynced:
+        if self.pending_replies or self.is_unsynced:
             raise UpstreamLostError("an earlier answer is still due")
 
-    async def read_answer(self) -> QueryAnswer:
+    async def read_answer(self) -> QueryResult:
         """Read messages up to ReadyForQuery and decode them."""
-        return await read_query_answer(self.read_message)
+        return await read_query_result(self.read_message)
 
     async def cancel(self, timeout_s: float) -> None:
         """Ask the upstream to cancel what this session runs.
--- a/ebonyrack/upstreams/connection_test.py
+++ b/ebonyrack/upstreams/connection_test.py
@@ -10,10 +10,10 @@
 
 from ebonyrack.core.address import Address
 from ebonyrack.standins.group import StandinGroup
-from ebonyrack.upstreams.answers_due import count_answers_due
 from ebonyrack.upstreams.conftest import build_answer
 from ebonyrack.upstreams.conftest import build_error
 from ebonyrack.upstreams.connection import UpstreamLostError
+from ebonyrack.upstreams.expected_replies import count_expected_replies
 from ebonyrack.upstreams.opening import open_connection
 from ebonyrack.upstreams.transport import MAXIMUM_FRAME_BYTES
 
@@ -188,12 +188,15 @@
 def test_answers_due_are_counted_by_query_and_sync():
     extended = Parse(query="SELECT 1").to_wire() + Bind().to_wire()
     extended += Execute().to_wire()
-    assert count_answers_due(extended, False) == (0, True)
-    assert count_answers_due(extended + Sync().to_wire(), False) == (1, False)
-    assert count_answers_due(Query(query_string="a").to_wire() * 2, True) == (2, False)
+    assert count_expected_replies(extended, False) == (0, True)
+    assert count_expected_replies(extended + Sync().to_wire(), False) == (1, False)
+    assert count_expected_replies(Query(query_string="a").to_wire() * 2, True) == (
+        2,
+        False,
+    )
     for cut in (2, 6):
         with pytest.raises(ValueError):
-            count_answers_due(Query(query_string="a").to_wire()[:cut], False)
+            count_expected_replies(Query(query_string="a").to_wire()[:cut], False)
 
 
 async def test_promotion_is_known_when_the_next_answer_ends():
--- a/ebonyrack/upstreams/contract.py
+++ b/ebonyrack/upstreams/contract.py
@@ -13,7 +13,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class FenceAnswer:
+class FenceResult:
     """Answer to the request for a grant of a term.
 
     Attributes:
@@ -28,7 +28,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class HoldsAnswer:
+class HoldsResult:
     """Answer to the question whether a log has an entry.
 
     Attributes:
@@ -122,14 +122,14 @@
             silence_s=int(rest[0]) / 1000 if rest and rest[0] else None,
         )
 
-    def parse_grant(self, row: tuple[str | None, ...]) -> FenceAnswer:
+    def parse_grant(self, row: tuple[str | None, ...]) -> FenceResult:
         """Read the row of a fence.
 
         Raises:
             ValueError: If the row has another form.
         """
         granted, fenced_term, received = read_fields(row)
-        return FenceAnswer(granted == "t", int(fenced_term), parse_position(received))
+        return FenceResult(granted == "t", int(fenced_term), parse_position(received))
 
     def parse_promotion(self, row: tuple[str | None, ...]) -> LogPosition:
         """Read the row of a promotion: the position of the term-start record.
@@ -140,14 +140,14 @@
         (received,) = read_fields(row)
         return parse_position(received)
 
-    def parse_holds(self, row: tuple[str | None, ...]) -> HoldsAnswer:
+    def parse_holds(self, row: tuple[str | None, ...]) -> HoldsResult:
         """Read the row that says whether the log has an entry.
 
         Raises:
             ValueError: If the row has another form.
         """
         held, term, received = read_fields(row)
-        return HoldsAnswer(held == "t", int(term), parse_position(received))
+        return HoldsResult(held == "t", int(term), parse_position(received))
 
 
 def read_fields(row: tuple[str | None, ...]) -> tuple[str, ...]:
--- a/ebonyrack/upstreams/control.py
+++ b/ebonyrack/upstreams/control.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING
 
 from ebonyrack.core.clock import now_s
-from ebonyrack.upstreams.connection import QueryAnswer
+from ebonyrack.upstreams.connection import QueryResult
 from ebonyrack.upstreams.connection import UpstreamConnection
 from ebonyrack.upstreams.connection import UpstreamLostError
 from ebonyrack.upstreams.opening import open_connection
@@ -36,7 +36,7 @@
         self.connection: UpstreamConnection | None = None
         self.lock = asyncio.Lock()
 
-    async def query(self, sql: str, timeout_s: float) -> QueryAnswer:
+    async def query(self, sql: str, timeout_s: float) -> QueryResult:
         """Run one query after those that came before it.
 
         Args:
@@ -62,7 +62,7 @@
         finally:
             self.lock.release()
 
-    async def run(self, sql: str, deadline_s: float) -> QueryAnswer:
+    async def run(self, sql: str, deadline_s: float) -> QueryResult:
         """Run one query while holding the lock.
 
         Args:
--- a/ebonyrack/upstreams/answers_due.py
+++ b/ebonyrack/upstreams/expected_replies.py
@@ -10,7 +10,7 @@
 KINDS_ANSWERED_READY = frozenset({b"Q", b"S", b"F"})
 
 
-def count_answers_due(data: bytes, is_unsynced: bool) -> tuple[int, bool]:
+def count_expected_replies(data: bytes, is_unsynced: bool) -> tuple[int, bool]:
     """Count the ReadyForQuery answers that messages ask for.
 
     Args:
--- a/ebonyrack/upstreams/group.py
+++ b/ebonyrack/upstreams/group.py
@@ -16,13 +16,13 @@
 from ebonyrack.core.owner import Owner
 from ebonyrack.core.position import LogPosition
 from ebonyrack.core.signal import Signal
-from ebonyrack.upstreams.confirmations import Confirmations
-from ebonyrack.upstreams.confirming import confirm_once
+from ebonyrack.upstreams.confirmation import try_confirm
+from ebonyrack.upstreams.confirmation_tracker import ConfirmationTracker
 from ebonyrack.upstreams.lag import PrimaryHistory
+from ebonyrack.upstreams.monitor import UpstreamMonitor
 from ebonyrack.upstreams.primary_wait import PrimaryWait
 from ebonyrack.upstreams.status import Role
 from ebonyrack.upstreams.upstream import Upstream
-from ebonyrack.upstreams.watch import UpstreamWatch
 
 if TYPE_CHECKING:
     from ebonyrack.config.sections import GroupSection
@@ -34,7 +34,7 @@
 SHORTEST_RETRY_S = 0.3
 LONGEST_RETRY_S = 0.9
 # A primary that is leaving serves on for this long, to be replaced without a gap.
-LEAVING_PRIMARY_S = 2.0
+LEAVING_PRIMARY_GRACE_S = 2.0
 DRAIN_CHECK_S = 0.005
 
 
@@ -48,14 +48,15 @@
         upstreams: Upstreams by name.
         term: Highest term in which a primary was seen.
         primary_name: Name of that primary, or None.
-        learned_at_s: Monotonic time at which it was learned.
+        primary_learned_at_s: Monotonic time at which it was learned.
         acknowledged_term: Highest term in which a write was acknowledged here.
         coordinator_rank: Place of this proxy among the group's coordinators, 0 for the
             first; None if it may not order a promotion.
         confirmations: Writes of the present term that wait for a majority.
-        history: Positions of the primary, for the lag of replicas.
+        primary_history: Positions of the primary, for the lag of replicas.
         changed: Notified when the primary, a term or reachability changes.
-        hold_until_s: Monotonic time until which new writes wait for a switchover.
+        writes_held_until_s: Monotonic time until which new writes wait for a
+            switchover.
         primary_wait: Requests that wait until there is a primary.
     """
 
@@ -66,25 +67,25 @@
         self.upstreams: dict[str, Upstream] = {}
         self.term = 0
         self.primary_name: str | None = None
-        self.learned_at_s: float | None = None
+        self.primary_learned_at_s: float | None = None
         self.acknowledged_term = 0
         self.coordinator_rank: int | None = None
-        self.history = PrimaryHistory()
+        self.primary_history = PrimaryHistory()
         self.changed = Signal()
-        self.hold_until_s = 0.0
+        self.writes_held_until_s = 0.0
         self.primary_wait = PrimaryWait(self.changed)
         self.requested_at_s = 0.0
         self.leaving_since_s: dict[str, float] = {}
-        self.watches: dict[str, UpstreamWatch] = {}
+        self.monitors: dict[str, UpstreamMonitor] = {}
         self.removals: set[asyncio.Task[None]] = set()
         for spec in section.upstreams:
             self.add_upstream(spec)
-        self.confirmations = Confirmations(0, None, self.majority - 1)
+        self.confirmations = ConfirmationTracker(0, None, self.majority - 1)
         self.apply_leaving()
 
     async def start(self) -> None:
         """Start to watch the upstreams."""
-        for watch in self.watches.values():
+        for watch in self.monitors.values():
             watch.start()
 
     async def stop(self) -> None:
@@ -119,7 +120,7 @@
         upstream.on_status = self.observe
         upstream.on_change = self.note_change
         self.upstreams[spec.name] = upstream
-        self.watches[spec.name] = UpstreamWatch(self, upstream)
+        self.monitors[spec.name] = UpstreamMonitor(self, upstream)
 
     def remove_upstream(self, name: str) -> None:
         """Take an upstream out; its tasks and connections end soon after.
@@ -129,7 +130,7 @@
         """
         del self.upstreams[name]
         self.leaving_since_s.pop(name, None)
-        removal = asyncio.create_task(self.watches.pop(name).stop())
+        removal = asyncio.create_task(self.monitors.pop(name).stop())
         self.removals.add(removal)
         removal.add_done_callback(self.removals.discard)
 
@@ -149,7 +150,7 @@
         for spec in section.upstreams:
             if spec.name not in self.upstreams:
                 self.add_upstream(spec)
-                self.watches[spec.name].start()
+                self.monitors[spec.name].start()
         for upstream in self.upstreams.values():
             upstream.apply_section(section)
         self.confirmations.needed = self.majority - 1
@@ -192,7 +193,7 @@
             return None
         leaving_since_s = self.leaving_since_s.get(upstream.name)
         if leaving_since_s is not None:
-            if now_s() - leaving_since_s > LEAVING_PRIMARY_S:
+            if now_s() - leaving_since_s > LEAVING_PRIMARY_GRACE_S:
                 return None
         return upstream
 
@@ -201,7 +202,7 @@
         return [
             upstream
             for upstream in self.upstreams.values()
-            if upstream.may_count
+            if upstream.counts_in_majority
             and not upstream.is_leaving
             and upstream.is_following(self.term)
         ]
@@ -220,16 +221,16 @@
             RequestError: NO_PRIMARY, QUEUE_FULL or WAIT_TOO_LONG with the time to
                 come back.
         """
-        self.note_request()
+        self.record_request()
         waiter = self.primary_wait.build_waiter(caller, deadline_s)
         while True:
-            held_s = self.hold_until_s - now_s()
+            held_s = self.writes_held_until_s - now_s()
             primary = self.primary()
             if primary is not None and held_s <= 0:
                 return primary
             remaining_s = deadline_s - now_s()
             if remaining_s <= 0:
-                raise self.build_no_primary()
+                raise self.build_no_primary_error()
             wait_s = min(remaining_s, held_s) if held_s > 0 else remaining_s
             last_primary = self.upstreams.get(self.primary_name or "")
             await self.primary_wait.wait(waiter, wait_s, self.section, last_primary)
@@ -240,7 +241,7 @@
         Args:
             hold_s: Seconds for which they wait at most.
         """
-        self.hold_until_s = now_s() + hold_s
+        self.writes_held_until_s = now_s() + hold_s
 
     async def drain_primary(self, limit_s: float) -> bool:
         """Wait until no request of this proxy uses the primary.
@@ -261,42 +262,42 @@
 
     def release_writes(self) -> None:
         """Let writes go on."""
-        self.hold_until_s = 0.0
+        self.writes_held_until_s = 0.0
         self.changed.notify()
 
-    def build_no_primary(self) -> RequestError:
+    def build_no_primary_error(self) -> RequestError:
         """Build the refusal of a write for want of a primary."""
         retry_after_s = random.uniform(SHORTEST_RETRY_S, LONGEST_RETRY_S)
         reason = f"group {self.name}, last term {self.term}"
         return RequestError(ErrorKind.NO_PRIMARY, reason, retry_after_s)
 
-    def note_request(self) -> None:
+    def record_request(self) -> None:
         """Poll at a shorter interval while the group carries requests."""
         was_idle = not self.is_carrying_requests
         self.requested_at_s = now_s()
         if was_idle and not self.is_coordinator:
-            self.wake_probes()
+            self.wake_monitors()
 
-    def wake_probes(self) -> None:
+    def wake_monitors(self) -> None:
         """Poll every upstream at once."""
-        for watch in self.watches.values():
+        for watch in self.monitors.values():
             watch.wake.set()
 
-    def report_lost(self, upstream_name: str, reason: str) -> None:
+    def report_connection_lost(self, upstream_name: str, reason: str) -> None:
         """Note that the data path saw a broken connection; polls at once.
 
         Args:
             upstream_name: Name of the upstream.
             reason: What was seen.
         """
-        watch = self.watches.get(upstream_name)
+        watch = self.monitors.get(upstream_name)
         if watch is not None:
             logger.bind(group=self.name, upstream=upstream_name, reason=reason).info(
                 "connection_lost"
             )
             watch.wake.set()
 
-    def learn(self, term: int, primary_name: str) -> None:
+    def record_primary(self, term: int, primary_name: str) -> None:
         """Take over news of a primary if its term is higher.
 
         Args:
@@ -308,11 +309,11 @@
         previous = self.upstreams.get(self.primary_name or "")
         self.term = term
         self.primary_name = primary_name
-        self.learned_at_s = now_s()
-        self.hold_until_s = 0.0
-        self.history.clear()
+        self.primary_learned_at_s = now_s()
+        self.writes_held_until_s = 0.0
+        self.primary_history.clear()
         waiting = self.confirmations
-        self.confirmations = Confirmations(term, primary_name, self.majority - 1)
+        self.confirmations = ConfirmationTracker(term, primary_name, self.majority - 1)
         waiting.end_term()
         if previous is not None and not previous.is_reachable:
             # Whoever still waits for the lost primary can't be answered by it.
@@ -325,10 +326,10 @@
         logger.bind(group=self.name, term=term, upstream=primary_name).info(
             "primary_learned"
         )
-        self.wake_probes()
+        self.wake_monitors()
         self.changed.notify()
 
-    def note_acknowledged(self, term: int) -> None:
+    def record_acknowledgement(self, term: int) -> None:
         """Log how long the first acknowledgement of a term took on this proxy.
 
         Args:
@@ -342,7 +343,7 @@
             group=self.name,
             term=term,
             upstream=self.primary_name,
-            reconnection_s=round(now_s() - (self.learned_at_s or now_s()), 4),
+            reconnection_s=round(now_s() - (self.primary_learned_at_s or now_s()), 4),
         )
 
     def observe(self, upstream: Upstream) -> None:
@@ -355,12 +356,14 @@
         if status is None or self.upstreams.get(upstream.name) is not upstream:
             return
         if status.role is Role.PRIMARY:
-            self.learn(status.term, upstream.name)
+            self.record_primary(status.term, upstream.name)
         if upstream.name == self.primary_name and upstream.is_primary_in(self.term):
-            self.history.add(status.received)
+            self.primary_history.add(status.received)
             for other in self.upstreams.values():
-                other.counted_log.observe_primary(status.received, upstream.asked_at_s)
-        if upstream.counted_log.observe(status.received, upstream.asked_at_s):
+                other.confirmed_log.observe_primary(
+                    status.received, upstream.asked_at_s
+                )
+        if upstream.confirmed_log.observe(status.received, upstream.asked_at_s):
             self.note_regression(upstream)
         if not upstream.is_regressed:
             if self.confirmations.observe(upstream.name, status):
@@ -381,7 +384,7 @@
             upstream = self.upstreams.get(name)
             if upstream is not None:
                 counted = min(offset, confirmations.confirmed)
-                upstream.counted_log.count(LogPosition(confirmations.term, counted))
+                upstream.confirmed_log.count(LogPosition(confirmations.term, counted))
 
     def note_regression(self, upstream: Upstream) -> None:
         """Log that an upstream lost its log or caught up, and count it accordingly.
@@ -396,7 +399,7 @@
             group=self.name,
             term=self.term,
             upstream=upstream.name,
-            counted=str(upstream.counted_log.position),
+            counted=str(upstream.confirmed_log.position),
             received=str(upstream.status.received) if upstream.status else "",
         )
         self.changed.notify()
@@ -426,7 +429,7 @@
             self.leaving_since_s.pop(upstream.name, None)
         if upstream.state == "lost":
             upstream.pool.stop_new_work()
-            if not is_primary or upstream.is_refused:
+            if not is_primary or upstream.refuses_connections:
                 close_busy(upstream)
         elif upstream.is_leaving and not is_primary:
             upstream.pool.stop_new_work()
@@ -461,10 +464,10 @@
             RequestError: OUTCOME_UNKNOWN if it was not confirmed in time;
                 UPSTREAM_LOST if a change of primary has undone it.
         """
-        self.note_request()
+        self.record_request()
         try:
             async with asyncio.timeout(max(0.0, deadline_s - now_s())):
-                while not await confirm_once(self, position):
+                while not await try_confirm(self, position):
                     pass
         except TimeoutError:
             raise RequestError(
@@ -472,7 +475,7 @@
                 f"committed at {position}, not confirmed by a majority in time",
             ) from None
 
-    async def wait_confirmed(self, position: LogPosition) -> bool:
+    async def wait_for_majority(self, position: LogPosition) -> bool:
         """Wait for a majority within one term.
 
         Args:
@@ -501,13 +504,13 @@
         if len(reachable) < needed:
             return float("inf")
         lags = sorted(
-            self.history.compute_lag(upstream.status.received)
+            self.primary_history.compute_lag(upstream.status.received)
             for upstream in reachable
             if upstream.status is not None and upstream.is_following(self.term)
         )
         if len(lags) < needed:
             # Just after a promotion the replicas still turn to the new primary.
-            return now_s() - (self.learned_at_s or 0.0)
+            return now_s() - (self.primary_learned_at_s or 0.0)
         return lags[needed - 1] if needed else 0.0
 
     async def poll_all(self) -> None:
--- a/ebonyrack/upstreams/watch.py
+++ b/ebonyrack/upstreams/monitor.py
@@ -32,7 +32,7 @@
 WARM_INTERVAL_S = 1.0
 
 
-class UpstreamWatch:
+class UpstreamMonitor:
     """Owns an upstream and the tasks that watch it for its group.
 
     Attributes:
@@ -104,7 +104,7 @@
                 try:
                     await upstream.pool.warm(WARM_CONNECTIONS)
                 except UpstreamLostError as error:
-                    self.group.report_lost(upstream.name, error.reason)
+                    self.group.report_connection_lost(upstream.name, error.reason)
             await self.group.changed.wait(WARM_INTERVAL_S)
 
     async def confirm(self) -> None:
--- a/ebonyrack/upstreams/primary_wait_test.py
+++ b/ebonyrack/upstreams/primary_wait_test.py
@@ -62,12 +62,12 @@
 
 
 async def test_a_new_primary_goes_on_with_the_pace_of_writes(group):
-    group.learn(1, "up-1")
+    group.record_primary(1, "up-1")
     pools = {name: upstream.pool for name, upstream in group.upstreams.items()}
     for _ in range(100):
         pools["up-1"].queue.pace.note_service(1.0)
     first = pools["up-2"].queue.build_refusal(ErrorKind.QUEUE_FULL, "", 1)
-    group.learn(2, "up-2")
+    group.record_primary(2, "up-2")
     second = pools["up-2"].queue.build_refusal(ErrorKind.QUEUE_FULL, "", 1)
     assert first.retry_after_s < 0.5 < second.retry_after_s
     # What the old one serves from now on are reads.
--- a/ebonyrack/upstreams/query_answer.py
+++ b/ebonyrack/upstreams/query_result.py
@@ -21,7 +21,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class QueryAnswer:
+class QueryResult:
     """The whole answer to a simple query.
 
     Attributes:
@@ -37,9 +37,9 @@
     error: dict[str, str] | None
 
 
-async def read_query_answer(
+async def read_query_result(
     read_message: Callable[[], Awaitable[Message]],
-) -> QueryAnswer:
+) -> QueryResult:
     """Read messages up to ReadyForQuery and decode them.
 
     Args:
@@ -69,7 +69,7 @@
         elif message.kind == b"E":
             error = ErrorResponse.decode(message.payload).fields
         elif message.kind == b"Z":
-            return QueryAnswer(columns, tuple(rows), tag, error)
+            return QueryResult(columns, tuple(rows), tag, error)
 
 
 @functools.lru_cache(maxsize=CACHED_DESCRIPTIONS)
--- a/ebonyrack/upstreams/upstream.py
+++ b/ebonyrack/upstreams/upstream.py
@@ -12,11 +12,11 @@
 from ebonyrack.core.position import START
 from ebonyrack.core.position import LogPosition
 from ebonyrack.core.tasks import end_tasks
-from ebonyrack.upstreams.connection import QueryAnswer
+from ebonyrack.upstreams.confirmed_log import ConfirmedLog
+from ebonyrack.upstreams.connection import QueryResult
 from ebonyrack.upstreams.connection import UpstreamLostError
 from ebonyrack.upstreams.contract import CONTRACTS
 from ebonyrack.upstreams.control import ControlConnection
-from ebonyrack.upstreams.counted_log import CountedLog
 from ebonyrack.upstreams.pool import ConnectionPool
 from ebonyrack.upstreams.position_waits import PositionWaits
 from ebonyrack.upstreams.status import Role
@@ -62,13 +62,14 @@
         status: Latest answer to a poll, or None.
         asked_at_s: Monotonic time at which that answer was asked for.
         answered_at_s: Monotonic time of that answer, or None.
-        counted_log: What it was counted with in majorities.
+        confirmed_log: What it was counted with in majorities.
         lost_at_s: Monotonic time at which it was found lost, or None.
-        is_refused: Whether it was found lost because it refuses connections.
-        answer_s: Seconds that the latest plain poll took, or None.
+        refuses_connections: Whether it was found lost because it refuses
+            connections.
+        poll_time_s: Seconds that the latest plain poll took, or None.
         slow_since_s: Monotonic time of the first of the slow answers in a row, or
             None if the latest was not slow.
-        slow_answers: Slow answers in a row.
+        slow_poll_count: Slow answers in a row.
         is_marked_leaving: Whether the document or the VM list says it is leaving.
         on_status: Called after each answer.
         on_change: Called after a change of state.
@@ -90,12 +91,12 @@
         self.status: UpstreamStatus | None = None
         self.asked_at_s = 0.0
         self.answered_at_s: float | None = None
-        self.counted_log = CountedLog()
+        self.confirmed_log = ConfirmedLog()
         self.lost_at_s: float | None = None
-        self.is_refused = False
-        self.answer_s: float | None = None
+        self.refuses_connections = False
+        self.poll_time_s: float | None = None
         self.slow_since_s: float | None = None
-        self.slow_answers = 0
+        self.slow_poll_count = 0
         self.is_marked_leaving = False
         self.summary: tuple[Role, int, int, bool] | None = None
         self.contract = CONTRACTS.get(section.contract)()
@@ -105,7 +106,7 @@
             ControlConnection(spec.address, section),
             self.contract,
             section.suspect_after_s,
-            self.note_status,
+            self.record_status,
         )
         self.next_poll: asyncio.Task[UpstreamStatus] | None = None
         self.polls: set[asyncio.Task[UpstreamStatus]] = set()
@@ -145,17 +146,17 @@
     @property
     def is_regressed(self) -> bool:
         """Whether it lost what it was counted with, and so makes no majority."""
-        return self.counted_log.is_lost
+        return self.confirmed_log.is_lost
 
     @property
-    def may_count(self) -> bool:
+    def counts_in_majority(self) -> bool:
         """Whether it answered the latest poll and may count in a majority."""
         return self.is_reachable and not self.is_regressed
 
     @property
     def is_slow(self) -> bool:
         """Whether each answer to a poll was slow for `slow_after_s`."""
-        if self.slow_since_s is None or self.slow_answers < MINIMUM_SLOW_ANSWERS:
+        if self.slow_since_s is None or self.slow_poll_count < MINIMUM_SLOW_ANSWERS:
             return False
         lasted_s = (self.answered_at_s or 0.0) - self.slow_since_s
         return lasted_s >= self.section.slow_after_s
@@ -164,7 +165,7 @@
     def is_fast(self) -> bool:
         """Whether its latest answer to a poll was well below the limit."""
         limit_s = FAST_SHARE * self.section.slow_answer_s
-        return self.answer_s is not None and self.answer_s <= limit_s
+        return self.poll_time_s is not None and self.poll_time_s <= limit_s
 
     @property
     def highest_term(self) -> int:
@@ -266,32 +267,32 @@
             self.next_poll = None
             started_s = now_s()
             try:
-                status = await self.ask_status(started_s + timeout_s)
+                status = await self.query_status(started_s + timeout_s)
             except UpstreamLostError as error:
                 if error.sqlstate != TOO_MANY_CONNECTIONS:
-                    self.note_lost(error, now_s() - started_s - timeout_s)
+                    self.record_poll_failure(error, now_s() - started_s - timeout_s)
                 raise
-        self.note_answer_time(now_s() - started_s)
+        self.record_poll_time(now_s() - started_s)
         self.waits.settle(status)
-        self.note_status(status, started_s)
+        self.record_status(status, started_s)
         return status
 
-    def note_answer_time(self, answer_s: float) -> None:
+    def record_poll_time(self, answer_s: float) -> None:
         """Keep how long a plain poll took; one answer in time ends a slow row.
 
         Args:
             answer_s: Seconds from sending it to its answer.
         """
-        self.answer_s = answer_s
+        self.poll_time_s = answer_s
         limit_s = self.section.slow_answer_s
         if not limit_s or answer_s <= limit_s:
             self.slow_since_s = None
-            self.slow_answers = 0
+            self.slow_poll_count = 0
             return
         self.slow_since_s = self.slow_since_s or now_s()
-        self.slow_answers += 1
+        self.slow_poll_count += 1
 
-    async def ask_status(self, deadline_s: float) -> UpstreamStatus:
+    async def query_status(self, deadline_s: float) -> UpstreamStatus:
         """Poll over the control connection, on a new one if the old one broke.
 
         Args:
@@ -316,7 +317,7 @@
         except ValueError as error:
             raise UpstreamLostError(f"the status can't be read: {error}") from error
 
-    async def call(self, sql: str, timeout_s: float) -> QueryAnswer:
+    async def call(self, sql: str, timeout_s: float) -> QueryResult:
         """Run a control query; never sent twice.
 
         Args:
@@ -331,7 +332,7 @@
         """
         return await self.control.query(sql, timeout_s)
 
-    def note_status(self, status: UpstreamStatus, asked_at_s: float) -> None:
+    def record_status(self, status: UpstreamStatus, asked_at_s: float) -> None:
         """Keep an answer and tell the group.
 
         Two connections may answer in another order than they were asked. An answer
@@ -351,11 +352,11 @@
         self.asked_at_s = asked_at_s
         self.answered_at_s = now_s()
         self.lost_at_s = None
-        self.is_refused = False
+        self.refuses_connections = False
         self.update_state(is_lost=False)
         self.on_status(self)
 
-    def note_lost(self, error: UpstreamLostError, late_s: float) -> None:
+    def record_poll_failure(self, error: UpstreamLostError, late_s: float) -> None:
         """Note that the upstream did not answer, unless this process was paused.
 
         Args:
@@ -364,7 +365,7 @@
         """
         if late_s > PAUSE_LIMIT_S:
             return
-        self.is_refused = isinstance(error.__cause__, ConnectionRefusedError)
+        self.refuses_connections = isinstance(error.__cause__, ConnectionRefusedError)
         if self.lost_at_s is None:
             self.lost_at_s = now_s()
         self.update_state(is_lost=True)
--- a/ebonyrack/upstreams/upstream_test.py
+++ b/ebonyrack/upstreams/upstream_test.py
@@ -40,13 +40,13 @@
 
 async def test_callers_share_a_poll_that_is_not_sent_yet(upstream):
     sent = []
-    ask_status = upstream.ask_status
+    query_status = upstream.query_status
 
     async def count(deadline_s):
         sent.append(deadline_s)
-        return await ask_status(deadline_s)
+        return await query_status(deadline_s)
 
-    upstream.ask_status = count
+    upstream.query_status = count
     first = asyncio.create_task(upstream.poll())
     while not sent:
         await asyncio.sleep(0)
@@ -82,7 +82,7 @@
     await standins.kill("up-1")
     with pytest.raises(UpstreamLostError):
         await upstream.poll()
-    assert (upstream.state, upstream.is_refused) == ("lost", True)
+    assert (upstream.state, upstream.refuses_connections) == ("lost", True)
     await standins.restart("up-1")
     await upstream.poll()
     assert upstream.state == "answering"
@@ -90,9 +90,9 @@
 
 async def test_a_timeout_noticed_late_is_not_held_against_the_upstream(upstream):
     await upstream.poll()
-    upstream.note_lost(UpstreamLostError("no answer"), PAUSE_LIMIT_S * 2)
+    upstream.record_poll_failure(UpstreamLostError("no answer"), PAUSE_LIMIT_S * 2)
     assert upstream.state == "answering"
-    upstream.note_lost(UpstreamLostError("no answer"), 0.0)
+    upstream.record_poll_failure(UpstreamLostError("no answer"), 0.0)
     assert upstream.state == "lost"
 
 
@@ -100,11 +100,11 @@
     old = await upstream.poll()
     asked_at_s = now_s()
     promoted = replace(old, term=7, fenced_term=7)
-    upstream.note_status(promoted, now_s())
-    upstream.note_status(replace(old, role=Role.REPLICA), asked_at_s)
+    upstream.record_status(promoted, now_s())
+    upstream.record_status(replace(old, role=Role.REPLICA), asked_at_s)
     assert upstream.status == promoted
     # An answer asked for later counts: the upstream was set up anew.
-    upstream.note_status(old, now_s())
+    upstream.record_status(old, now_s())
     assert upstream.status == old
 
 
