--- a/ebonyrack/callers/session_drain.py
+++ b/ebonyrack/callers/session_drain.py
@@ -36,7 +36,7 @@
     """
     deadline_s = now_s() + limit_s
     unasked_s = now_s() + IDLE_GRACE_S
-    while sessions and now_s() < deadline_s and not drain.hurried.is_set():
+    while sessions and now_s() < deadline_s and not drain.forced.is_set():
         if now_s() >= unasked_s:
             for session in tuple(sessions.values()):
                 session.end_idle()
--- a/ebonyrack/config/edit_attempt.py
+++ b/ebonyrack/config/edit_attempt.py
@@ -22,8 +22,8 @@
 from ebonyrack.config.stored import unpack_stored
 from ebonyrack.core.clock import now_s
 from ebonyrack.store.backoff import Backoff
-from ebonyrack.store.store import Store
-from ebonyrack.store.store_answer import StoreErrorKind
+from ebonyrack.store.consul_store import ConsulStore
+from ebonyrack.store.store_response import StoreErrorKind
 
 FIRST_BACKOFF_S = 0.05
 MAXIMUM_BACKOFF_S = 1.0
@@ -52,7 +52,11 @@
     )
 
     def __init__(
-        self, store: Store, state: ConfigurationState, edit: Edit, deadline_s: float
+        self,
+        store: ConsulStore,
+        state: ConfigurationState,
+        edit: Edit,
+        deadline_s: float,
     ) -> None:
         self.store = store
         self.state = state
--- a/ebonyrack/config/edit_handler.py
+++ b/ebonyrack/config/edit_handler.py
@@ -26,7 +26,7 @@
 from ebonyrack.peers.link import PeerLostError
 from ebonyrack.peers.member import Member
 from ebonyrack.peers.message import Message
-from ebonyrack.store.store import Store
+from ebonyrack.store.consul_store import ConsulStore
 
 MAXIMUM_LIMIT_S = 60.0
 MAXIMUM_EDITS = 8
@@ -49,7 +49,9 @@
 
     __slots__ = ("state", "store", "hub", "edit_places", "identification")
 
-    def __init__(self, state: ConfigurationState, store: Store, hub: PeerHub) -> None:
+    def __init__(
+        self, state: ConfigurationState, store: ConsulStore, hub: PeerHub
+    ) -> None:
         self.state = state
         self.store = store
         self.hub = hub
--- a/ebonyrack/config/edit_test.py
+++ b/ebonyrack/config/edit_test.py
@@ -23,9 +23,9 @@
 from ebonyrack.config.text import apply_changes
 from ebonyrack.config.text import find_changes
 from ebonyrack.core.clock import now_s
-from ebonyrack.store.store_answer import StoreError
-from ebonyrack.store.store_answer import StoreErrorKind
-from ebonyrack.store.store_answer import StoreValue
+from ebonyrack.store.store_response import StoreError
+from ebonyrack.store.store_response import StoreErrorKind
+from ebonyrack.store.store_response import StoreValue
 
 TEXT = """# The document of the tests.
 [operator ada]
--- a/ebonyrack/config/leaving_vms.py
+++ b/ebonyrack/config/leaving_vms.py
@@ -10,8 +10,8 @@
 from ebonyrack.peers.document_messages import VmNews
 from ebonyrack.peers.hub import PeerHub
 from ebonyrack.peers.link import PeerLink
-from ebonyrack.store.store import Store
-from ebonyrack.store.store_answer import StoreError
+from ebonyrack.store.consul_store import ConsulStore
+from ebonyrack.store.store_response import StoreError
 from ebonyrack.store.vm_list import VmList
 from ebonyrack.store.vm_list import VmListing
 
@@ -28,7 +28,7 @@
 
     __slots__ = ("hub", "vm_list", "reported", "callbacks")
 
-    def __init__(self, store: Store, hub: PeerHub) -> None:
+    def __init__(self, store: ConsulStore, hub: PeerHub) -> None:
         self.hub = hub
         self.vm_list = VmList(store)
         self.reported: frozenset[str] = frozenset()
@@ -73,7 +73,7 @@
         """Take over what a watcher heard of the VM list."""
         before = self.names
         listing = VmListing(news.index, frozenset(news.leaving))
-        if self.vm_list.take_over(listing) and listing.leaving != before:
+        if self.vm_list.update_if_newer(listing) and listing.leaving != before:
             self.report()
 
     def tell_peer(self, link: PeerLink) -> None:
--- a/ebonyrack/config/stored.py
+++ b/ebonyrack/config/stored.py
@@ -8,7 +8,7 @@
 
 import msgpack
 
-from ebonyrack.store.store import MAXIMUM_VALUE_BYTES
+from ebonyrack.store.consul_store import MAXIMUM_VALUE_BYTES
 
 DOCUMENT_KEY = "document"
 FORMAT = 1
--- a/ebonyrack/config/verification.py
+++ b/ebonyrack/config/verification.py
@@ -16,7 +16,7 @@
 from ebonyrack.peers.document_messages import AskDocument
 from ebonyrack.peers.link import PeerLink
 from ebonyrack.peers.link import PeerLostError
-from ebonyrack.store.store import Store
+from ebonyrack.store.consul_store import ConsulStore
 
 RETRY_S = 0.2
 ASKED_PEERS = 3
@@ -38,7 +38,7 @@
     __slots__ = ("settings", "spread", "store", "is_verified", "task")
 
     def __init__(
-        self, settings: PeerSettings, spread: DocumentSpread, store: Store
+        self, settings: PeerSettings, spread: DocumentSpread, store: ConsulStore
     ) -> None:
         self.settings = settings
         self.spread = spread
--- a/ebonyrack/config/watch.py
+++ b/ebonyrack/config/watch.py
@@ -25,9 +25,9 @@
 from ebonyrack.peers.hub import PeerHub
 from ebonyrack.peers.member import Member
 from ebonyrack.store.backoff import Backoff
-from ebonyrack.store.store import Store
-from ebonyrack.store.store_answer import StoreError
-from ebonyrack.store.store_answer import StoreValue
+from ebonyrack.store.consul_store import ConsulStore
+from ebonyrack.store.store_response import StoreError
+from ebonyrack.store.store_response import StoreValue
 
 FIRST_BACKOFF_S = 0.2
 MAXIMUM_BACKOFF_S = 5.0
@@ -59,7 +59,7 @@
         self,
         settings: Settings,
         state: ConfigurationState,
-        store: Store,
+        store: ConsulStore,
         hub: PeerHub,
     ) -> None:
         self.settings = settings
@@ -106,7 +106,7 @@
     def silence_s(self) -> float:
         """Seconds since the store or any peer was heard."""
         heard_at_s = max(
-            self.started_at_s, self.store.heard_at_s or 0.0, self.hub.heard_at_s
+            self.started_at_s, self.store.answered_at_s or 0.0, self.hub.heard_at_s
         )
         return now_s() - heard_at_s
 
--- a/ebonyrack/config/watch_test.py
+++ b/ebonyrack/config/watch_test.py
@@ -86,7 +86,7 @@
     await fleet.wait_linked()
     await accept(first)
     await fleet.platform.stop()
-    await wait_until(lambda: now_s() - first.store.heard_at_s > 0.7)
+    await wait_until(lambda: now_s() - first.store.answered_at_s > 0.7)
     # The store alone is down: all go on.
     assert not first.watch.is_cut_off
     await fleet.remove(second)
--- a/ebonyrack/entry/failures_test.py
+++ b/ebonyrack/entry/failures_test.py
@@ -250,8 +250,8 @@
     # After an outage of the store some entries are back before others.
     proxy = system.proxies[0].proxy
     proxy.was_settled = False
-    proxy.reach.answering_since_s = None
-    proxy.reach.note_answering()
+    proxy.store_availability.available_since_s = None
+    proxy.store_availability.record_available()
     await system.upstreams["up-1"].stop()
     await asyncio.sleep(1.5)
     assert system.group.promotions == []
--- a/ebonyrack/entry/route_proxy.py
+++ b/ebonyrack/entry/route_proxy.py
@@ -31,9 +31,9 @@
 from ebonyrack.requests.codec import UpstreamCodec
 from ebonyrack.routes.route import RouteTable
 from ebonyrack.serving.services import Services
-from ebonyrack.store.follower import FollowPlan
+from ebonyrack.store.follower import FollowOptions
+from ebonyrack.store.follower import StoreAvailability
 from ebonyrack.store.follower import StoreFollower
-from ebonyrack.store.follower import StoreReach
 from ebonyrack.store.leasing_store import LeasingStore
 from ebonyrack.store.leasing_store import StoreChanges
 
@@ -94,7 +94,7 @@
         services: What callers' sessions use.
         roster: The upstreams that the store names.
         presence: The proxies that live.
-        reach: Whether the store answers.
+        store_availability: Whether the store answers.
         followers: Follow the parts of the store.
         listener: Takes callers' connections.
         watches: Watch of each group's primary.
@@ -116,29 +116,31 @@
             surroundings.store, settings.name, self.divide_connections
         )
         store = surroundings.store
-        self.reach = StoreReach()
+        self.store_availability = StoreAvailability()
         self.followers = (
             StoreFollower(
                 store,
-                FollowPlan(surroundings.entry_prefix, pause_s=ENTRIES_PAUSE_S),
+                FollowOptions(surroundings.entry_prefix, pause_s=ENTRIES_PAUSE_S),
                 self.roster.apply,
                 self.lacks_upstreams,
-                self.reach,
-                asks_on=True,
+                self.store_availability,
+                probes_store=True,
             ),
             StoreFollower(
                 store,
-                FollowPlan(surroundings.document_key, watch_s=DOCUMENT_WATCH_S),
+                FollowOptions(surroundings.document_key, watch_s=DOCUMENT_WATCH_S),
                 self.apply_document,
                 lambda: False,
-                self.reach,
+                self.store_availability,
             ),
             StoreFollower(
                 store,
-                FollowPlan(PROXIES_PREFIX, pause_s=PROXIES_PAUSE_S, may_be_stale=True),
+                FollowOptions(
+                    PROXIES_PREFIX, pause_s=PROXIES_PAUSE_S, allow_stale=True
+                ),
                 self.presence.apply,
                 lambda: False,
-                self.reach,
+                self.store_availability,
             ),
         )
         self.listener = Listener(self.services, surroundings.caller_codec)
@@ -163,7 +165,7 @@
         That is so if neither the store nor some group's primary can be reached from
         here for a while: the others may have replaced it meanwhile.
         """
-        if self.reach.measure_silence() < ISOLATED_AFTER_S:
+        if self.store_availability.compute_unavailable_s() < ISOLATED_AFTER_S:
             return False
         groups = self.services.groups.values()
         return any(group.measure_loss() > ISOLATED_AFTER_S for group in groups)
@@ -286,7 +288,9 @@
         it. A successor chosen before that could lack what an unknown one holds.
         """
         if not self.was_settled:
-            self.was_settled = self.reach.measure_answering() > MISSING_LIMIT_S
+            self.was_settled = (
+                self.store_availability.compute_available_s() > MISSING_LIMIT_S
+            )
         return self.was_settled
 
     def divide_connections(self) -> None:
@@ -300,5 +304,5 @@
             await asyncio.sleep(LOOK_S)
             self.shed_if_isolated()
             await self.roster.drop_missing(
-                self.reach.answering_since_s, MISSING_LIMIT_S
+                self.store_availability.available_since_s, MISSING_LIMIT_S
             )
--- a/ebonyrack/failover/terms.py
+++ b/ebonyrack/failover/terms.py
@@ -9,7 +9,7 @@
 from loguru import logger
 
 if TYPE_CHECKING:
-    from ebonyrack.store.store import Store
+    from ebonyrack.store.consul_store import ConsulStore
 
 SLOT_COUNTER_KEY = "term-slots"
 # Terms are `round * MAXIMUM_SLOTS + slot`.
@@ -36,7 +36,7 @@
         self.slot: int | None = None
         self.last_term = 0
 
-    async def reserve(self, store: Store) -> None:
+    async def reserve(self, store: ConsulStore) -> None:
         """Reserve a slot, trying again until the store grants one.
 
         An answer that is lost costs one number: the next try takes the one after.
@@ -74,7 +74,7 @@
         return term
 
 
-async def reserve_next(store: Store) -> int | None:
+async def reserve_next(store: ConsulStore) -> int | None:
     """Try once to take the next number of the counter.
 
     Args:
--- a/ebonyrack/load/bootstrap.py
+++ b/ebonyrack/load/bootstrap.py
@@ -10,7 +10,7 @@
 from ebonyrack.config.stored import pack_stored
 from ebonyrack.core.address import Address
 from ebonyrack.core.settings import StoreSettings
-from ebonyrack.store.store import Store
+from ebonyrack.store.consul_store import ConsulStore
 
 FIRST_REVISION = 1
 
@@ -37,7 +37,7 @@
     settings = StoreSettings.model_validate(
         {"address": store_address, "prefix": prefix}
     )
-    async with Store(settings) as store:
+    async with ConsulStore(settings) as store:
         answer = await store.compare_and_swap(DOCUMENT_KEY, pack_stored(stored), 0)
     if isinstance(answer, Err):
         raise BootstrapError(f"the store gave no answer: {answer.err_value.reason}")
--- a/ebonyrack/load/cluster.py
+++ b/ebonyrack/load/cluster.py
@@ -20,7 +20,7 @@
 from ebonyrack.core.owner import Owner
 from ebonyrack.core.position import parse_position
 from ebonyrack.core.settings import StoreSettings
-from ebonyrack.store.store import Store
+from ebonyrack.store.consul_store import ConsulStore
 
 POLL_INTERVAL_S = 0.05
 WHOLE_LIMIT_S = 30.0
@@ -156,7 +156,7 @@
         texts = {name: str(value) for name, value in keys.items()}
         text = set_group_keys(self.text, self.group, texts)
         settings = StoreSettings.model_validate({"address": self.store})
-        async with Store(settings) as store:
+        async with ConsulStore(settings) as store:
             read = await store.get(DOCUMENT_KEY)
             if isinstance(read, Err) or read.ok_value is None:
                 raise ClusterError(f"no document: {read}")
--- a/ebonyrack/load/control_plane.py
+++ b/ebonyrack/load/control_plane.py
@@ -25,7 +25,7 @@
 from ebonyrack.ops.document_access import DirectDocument
 from ebonyrack.ops.document_access import ProxyDocument
 from ebonyrack.standins.control_plane import SECRET
-from ebonyrack.store.store import Store
+from ebonyrack.store.consul_store import ConsulStore
 
 OPERATOR = "measure"
 POLL_S = 0.02
@@ -145,7 +145,7 @@
     settings = StoreSettings.model_validate({"address": measurement.store})
     text = build_text(measurement.groups, 3)
     edit = build_edit(uuid.uuid4().hex, OPERATOR, StoredDocument(0, "", ()), text)
-    async with Store(settings) as store:
+    async with ConsulStore(settings) as store:
         reply = await DirectDocument(store).change(edit, EDIT_LIMIT_S)
     if reply.outcome != "accepted":
         raise OSError(f"the first document was not accepted: {reply.reasons}")
--- a/ebonyrack/members/presence.py
+++ b/ebonyrack/members/presence.py
@@ -87,7 +87,7 @@
             if key.startswith(PREFIX)
         }
         known = self.names
-        self.names = found if changes.is_whole else (known | found) - gone
+        self.names = found if changes.is_complete else (known | found) - gone
         self.note_gone(known - self.names)
         if self.live_count != before:
             logger.bind(before=before, live=self.live_count).info("proxies_counted")
--- a/ebonyrack/members/presence_test.py
+++ b/ebonyrack/members/presence_test.py
@@ -17,16 +17,16 @@
     return Clock
 
 
-def build_changes(names, deleted=(), is_whole=False):
+def build_changes(names, deleted=(), is_complete=False):
     items = tuple(StoreItem(PREFIX + name, b"", 1, 1) for name in names)
-    return StoreChanges(items, tuple(PREFIX + name for name in deleted), 1, is_whole)
+    return StoreChanges(items, tuple(PREFIX + name for name in deleted), 1, is_complete)
 
 
 async def test_names_that_were_taken_away_count_until_their_proxies_could_be_back(
     clock,
 ):
     presence = Presence(None, "a", lambda: None)
-    await presence.apply(build_changes(["a", "b", "c"], is_whole=True))
+    await presence.apply(build_changes(["a", "b", "c"], is_complete=True))
     assert presence.live_count == 3
     await presence.apply(build_changes([], deleted=["b", "c"]))
     assert presence.live_count == 3
--- a/ebonyrack/members/roster.py
+++ b/ebonyrack/members/roster.py
@@ -51,7 +51,7 @@
             if item.key.startswith(self.prefix):
                 present.add(item.key.removeprefix(self.prefix))
                 await self.apply_item(item)
-        if changes.is_whole:
+        if changes.is_complete:
             self.is_loaded = True
             missing = set(self.entries) - present
         else:
--- a/ebonyrack/ops/document_access.py
+++ b/ebonyrack/ops/document_access.py
@@ -30,7 +30,7 @@
 from ebonyrack.peers.edit_messages import EditRequest
 from ebonyrack.peers.edit_messages import RevisionsReply
 from ebonyrack.peers.link import PeerLostError
-from ebonyrack.store.store import Store
+from ebonyrack.store.consul_store import ConsulStore
 
 REPLY_MARGIN_S = 2.0
 POLL_INTERVAL_S = 0.1
@@ -100,7 +100,7 @@
 
     __slots__ = ("store",)
 
-    def __init__(self, store: Store) -> None:
+    def __init__(self, store: ConsulStore) -> None:
         self.store = store
 
     async def read(self) -> StoredDocument:
--- a/ebonyrack/platform/kv_store.py
+++ b/ebonyrack/platform/kv_store.py
@@ -15,15 +15,15 @@
 from ebonyrack.core import metrics
 from ebonyrack.core.address import Address
 from ebonyrack.core.owner import Owner
-from ebonyrack.store.http_client import PROBING
-from ebonyrack.store.http_client import HttpAnswer
-from ebonyrack.store.http_client import HttpCall
+from ebonyrack.store.http_client import KEEPALIVE_OPTIONS
 from ebonyrack.store.http_client import HttpClient
+from ebonyrack.store.http_client import HttpRequest
+from ebonyrack.store.http_client import HttpResponse
 from ebonyrack.store.leasing_store import StoreChanges
 from ebonyrack.store.leasing_store import StoreItem
 from ebonyrack.store.leasing_store import StoreWrite
-from ebonyrack.store.store_answer import StoreError
-from ebonyrack.store.store_answer import StoreErrorKind
+from ebonyrack.store.store_response import StoreError
+from ebonyrack.store.store_response import StoreErrorKind
 
 # The store answers in milliseconds; this covers one lost packet and a slow spell.
 CALL_TIMEOUT_S = 0.8
@@ -46,7 +46,7 @@
     __slots__ = ("client", "timeout_s")
 
     def __init__(self, address: Address, timeout_s: float = CALL_TIMEOUT_S) -> None:
-        self.client = HttpClient(address, PROBING)
+        self.client = HttpClient(address, KEEPALIVE_OPTIONS)
         self.timeout_s = timeout_s
 
     async def start(self) -> None:
@@ -58,7 +58,7 @@
         await self.client.stop()
 
     async def read_prefix(
-        self, prefix: str, may_be_stale: bool = False
+        self, prefix: str, allow_stale: bool = False
     ) -> Result[StoreChanges, StoreError]:
         """Read all keys with a prefix.
 
@@ -66,7 +66,7 @@
 
         Args:
             prefix: Start of the keys.
-            may_be_stale: Whether what the store held some seconds ago will do.
+            allow_stale: Whether what the store held some seconds ago will do.
 
         Returns:
             The items, or why they aren't known.
@@ -76,7 +76,7 @@
         after = ""
         while True:
             query = {"prefix": prefix}
-            if may_be_stale:
+            if allow_stale:
                 # The platform calls reads that may be seconds old "serializable".
                 query["serializable"] = "1"
             if after:
@@ -93,7 +93,7 @@
                 return Err(bad_answer(error))
             items += page
             if not is_truncated or not page:
-                return Ok(StoreChanges(tuple(items), (), revision, is_whole=True))
+                return Ok(StoreChanges(tuple(items), (), revision, is_complete=True))
             after = page[-1].key
 
     async def watch_prefix(
@@ -222,25 +222,25 @@
 
     async def get(
         self, kind: str, path: str, query: dict[str, str], wait_s: float = 0.0
-    ) -> Result[HttpAnswer, StoreError]:
+    ) -> Result[HttpResponse, StoreError]:
         """Make a reading call."""
         metrics.store_calls.add(1, {"kind": kind})
         target = f"{path}?{urlencode(query)}"
-        call = HttpCall("GET", target, timeout_s=self.timeout_s, wait_s=wait_s)
-        return await self.client.call(call)
+        call = HttpRequest("GET", target, timeout_s=self.timeout_s, wait_s=wait_s)
+        return await self.client.send(call)
 
     async def post(
         self, kind: str, path: str, body: dict[str, Any]
-    ) -> Result[HttpAnswer, StoreError]:
+    ) -> Result[HttpResponse, StoreError]:
         """Make a call with a body."""
         metrics.store_calls.add(1, {"kind": kind})
         data = json.dumps(body).encode()
-        call = HttpCall("POST", path, data, JSON_HEADERS, timeout_s=self.timeout_s)
-        return await self.client.call(call)
+        call = HttpRequest("POST", path, data, JSON_HEADERS, timeout_s=self.timeout_s)
+        return await self.client.send(call)
 
 
 def read_body(
-    answer: HttpAnswer, statuses: tuple[int, ...]
+    answer: HttpResponse, statuses: tuple[int, ...]
 ) -> Result[dict[str, Any], StoreError]:
     """Decode the body of an answer with one of some statuses.
 
--- a/ebonyrack/platform/kv_store_test.py
+++ b/ebonyrack/platform/kv_store_test.py
@@ -9,7 +9,7 @@
 from ebonyrack.promotion.duty import take_duty
 from ebonyrack.standins.kv_service import KvService
 from ebonyrack.store.leasing_store import StoreWrite
-from ebonyrack.store.store_answer import StoreErrorKind
+from ebonyrack.store.store_response import StoreErrorKind
 
 
 @pytest.fixture
@@ -30,14 +30,14 @@
     await service.put("op/config", b"y")
     changes = (await store.read_prefix("servers/")).ok_value
     assert [item.key for item in changes.items] == [f"servers/{n}" for n in range(8)]
-    assert changes.is_whole
+    assert changes.is_complete
 
 
 async def test_only_reads_that_may_be_stale_are_asked_for_as_such(service, store):
     await service.put("servers/1", b"x")
     await store.read_prefix("servers/")
     assert service.stale_reads == 0
-    assert (await store.read_prefix("servers/", may_be_stale=True)).ok_value.items
+    assert (await store.read_prefix("servers/", allow_stale=True)).ok_value.items
     assert service.stale_reads == 1
 
 
--- a/ebonyrack/platform/promotion_calls.py
+++ b/ebonyrack/platform/promotion_calls.py
@@ -12,10 +12,10 @@
 from ebonyrack.core.owner import Owner
 from ebonyrack.promotion.order import OrderOutcome
 from ebonyrack.promotion.order import PromotionOrder
-from ebonyrack.store.http_client import PROBING
-from ebonyrack.store.http_client import HttpCall
+from ebonyrack.store.http_client import KEEPALIVE_OPTIONS
 from ebonyrack.store.http_client import HttpClient
-from ebonyrack.store.store_answer import StoreErrorKind
+from ebonyrack.store.http_client import HttpRequest
+from ebonyrack.store.store_response import StoreErrorKind
 
 # Orders are answered in milliseconds; after this one counts as unanswered.
 ORDER_TIMEOUT_S = 0.6
@@ -33,7 +33,7 @@
     __slots__ = ("client",)
 
     def __init__(self, address: Address) -> None:
-        self.client = HttpClient(address, PROBING)
+        self.client = HttpClient(address, KEEPALIVE_OPTIONS)
 
     async def start(self) -> None:
         """Prepare for HTTP connections."""
@@ -59,8 +59,8 @@
             ("X-Fencing-Token", str(order.fencing_token)),
         )
         data = json.dumps(body).encode()
-        call = HttpCall("POST", "/promote", data, headers, ORDER_TIMEOUT_S)
-        answer = await self.client.call(call)
+        call = HttpRequest("POST", "/promote", data, headers, ORDER_TIMEOUT_S)
+        answer = await self.client.send(call)
         if isinstance(answer, Err):
             if answer.err_value.kind is StoreErrorKind.UNREACHABLE:
                 return Err(answer.err_value.reason)
--- a/ebonyrack/scripts/ctl.py
+++ b/ebonyrack/scripts/ctl.py
@@ -30,7 +30,7 @@
 from ebonyrack.ops.story import StoryQuestion
 from ebonyrack.ops.story import show_story
 from ebonyrack.scripts.arguments import read_address_argument
-from ebonyrack.store.store import Store
+from ebonyrack.store.consul_store import ConsulStore
 
 PROXIES_VARIABLE = "EBONYRACK_PROXIES"
 SECRET_VARIABLE = "EBONYRACK_SECRET_FILE"
@@ -202,7 +202,7 @@
             settings = StoreSettings.model_validate(
                 {"address": options.store, "prefix": options.prefix}
             )
-            async with Store(settings) as store:
+            async with ConsulStore(settings) as store:
                 return await run_config(DirectDocument(store), options, output)
         case "config":
             document = ProxyDocument(build_access(options))
--- a/ebonyrack/service/drain.py
+++ b/ebonyrack/service/drain.py
@@ -18,7 +18,7 @@
     Attributes:
         state: `starting`, `serving`, `finishing` or `stopped`.
         requested: Set once a shutdown was asked for.
-        hurried: Set once the rest of the work is to be cut.
+        forced: Set once the rest of the work is to be cut.
     """
 
     state: str
@@ -28,7 +28,7 @@
 
     def __init__(self) -> None:
         self.requested = asyncio.Event()
-        self.hurried = asyncio.Event()
+        self.forced = asyncio.Event()
         Machine(
             model=self,
             states=["starting", "serving", "finishing", "stopped"],
@@ -54,7 +54,7 @@
         """
         if self.requested.is_set():
             logger.bind(reason=reason).warning("shutdown_hurried")
-            self.hurried.set()
+            self.forced.set()
             return
         logger.bind(reason=reason).info("shutdown_requested")
         self.begin()
--- a/ebonyrack/service/drain_test.py
+++ b/ebonyrack/service/drain_test.py
@@ -6,9 +6,9 @@
     drain.serve()
     drain.request("SIGTERM")
     assert drain.is_draining
-    assert not drain.hurried.is_set()
+    assert not drain.forced.is_set()
     drain.request("SIGTERM")
-    assert drain.hurried.is_set()
+    assert drain.forced.is_set()
 
 
 async def test_states_follow_one_another():
--- a/ebonyrack/service/proxy.py
+++ b/ebonyrack/service/proxy.py
@@ -24,7 +24,7 @@
 from ebonyrack.service.operator_handler import OperatorHandler
 from ebonyrack.service.services import Services
 from ebonyrack.service.services import derive_token_key
-from ebonyrack.store.store import Store
+from ebonyrack.store.consul_store import ConsulStore
 
 if TYPE_CHECKING:
     from ebonyrack.core.settings import Settings
@@ -51,7 +51,7 @@
         self.settings = settings
         self.drain = Drain()
         self.configuration = ConfigurationState()
-        self.store = Store(settings.store)
+        self.store = ConsulStore(settings.store)
         self.hub = PeerHub(settings)
         self.watch = ConfigurationWatch(
             settings, self.configuration, self.store, self.hub
--- a/ebonyrack/standins/control_plane.py
+++ b/ebonyrack/standins/control_plane.py
@@ -17,7 +17,7 @@
 from ebonyrack.core.settings import parse_settings
 from ebonyrack.peers.hub import PeerHub
 from ebonyrack.standins.platform import StandinPlatform
-from ebonyrack.store.store import Store
+from ebonyrack.store.consul_store import ConsulStore
 
 SECRET = "the secret of a test"
 SECRET_BYTES = 8
@@ -128,7 +128,7 @@
     def __init__(self, settings: Settings) -> None:
         self.settings = settings
         self.state = ConfigurationState()
-        self.store = Store(settings.store)
+        self.store = ConsulStore(settings.store)
         self.hub = PeerHub(settings)
         self.watch = ConfigurationWatch(settings, self.state, self.store, self.hub)
         self.edits = EditHandler(self.state, self.store, self.hub)
--- a/ebonyrack/store/store.py
+++ b/ebonyrack/store/consul_store.py
@@ -14,22 +14,22 @@
 from ebonyrack.core.clock import now_s
 from ebonyrack.core.owner import Owner
 from ebonyrack.core.settings import StoreSettings
-from ebonyrack.store.http_client import HttpAnswer
-from ebonyrack.store.http_client import HttpCall
 from ebonyrack.store.http_client import HttpClient
+from ebonyrack.store.http_client import HttpRequest
+from ebonyrack.store.http_client import HttpResponse
 from ebonyrack.store.rate_limit import RateLimit
-from ebonyrack.store.store_answer import StoreAnswer
-from ebonyrack.store.store_answer import StoreError
-from ebonyrack.store.store_answer import StoreErrorKind
-from ebonyrack.store.store_answer import StoreValue
-from ebonyrack.store.store_answer import read_index
-from ebonyrack.store.store_answer import read_success
-from ebonyrack.store.store_answer import read_value
+from ebonyrack.store.store_response import StoreError
+from ebonyrack.store.store_response import StoreErrorKind
+from ebonyrack.store.store_response import StoreResponse
+from ebonyrack.store.store_response import StoreValue
+from ebonyrack.store.store_response import read_index
+from ebonyrack.store.store_response import read_success
+from ebonyrack.store.store_response import read_value
 
 MAXIMUM_VALUE_BYTES = 1_000_000
 
 
-class Store(Owner):
+class ConsulStore(Owner):
     """Client of the store: an async context manager.
 
     Keys are relative to the prefix of the settings. Each call has a time-out, is
@@ -38,14 +38,14 @@
     Attributes:
         settings: Address, prefix, time-outs and rate.
         calls: Number of calls made, by kind.
-        heard_at_s: Time of the last answer of the store, or None.
+        answered_at_s: Time of the last answer of the store, or None.
         client: HTTP connections to the store.
     """
 
     def __init__(self, settings: StoreSettings) -> None:
         self.settings = settings
         self.calls: Counter[str] = Counter()
-        self.heard_at_s: float | None = None
+        self.answered_at_s: float | None = None
         self.rate_limit = RateLimit(settings.maximum_calls_per_s)
         self.client = HttpClient(settings.address)
 
@@ -87,7 +87,7 @@
 
     async def watch_path(
         self, kind: str, path: str, index: int, wait_s: float
-    ) -> Result[StoreAnswer, StoreError]:
+    ) -> Result[StoreResponse, StoreError]:
         """Wait until the index of what a path names differs from a known one.
 
         Args:
@@ -132,7 +132,7 @@
         parameters: dict[str, str],
         body: bytes = b"",
         wait_s: float = 0.0,
-    ) -> Result[StoreAnswer, StoreError]:
+    ) -> Result[StoreResponse, StoreError]:
         """Make one HTTP call within the rate and the time-out.
 
         Args:
@@ -159,22 +159,22 @@
 
     async def request(
         self, method: str, target: str, body: bytes, wait_s: float
-    ) -> Result[StoreAnswer, StoreError]:
+    ) -> Result[StoreResponse, StoreError]:
         """Send a request and sort what may come back."""
-        call = HttpCall(
+        call = HttpRequest(
             method, target, body, timeout_s=self.settings.timeout_s, wait_s=wait_s
         )
-        answer = await self.client.call(call)
+        answer = await self.client.send(call)
         return answer.and_then(self.sort_answer)
 
-    def sort_answer(self, answer: HttpAnswer) -> Result[StoreAnswer, StoreError]:
+    def sort_answer(self, answer: HttpResponse) -> Result[StoreResponse, StoreError]:
         """Tell a usable answer from a refusal."""
         status = answer.status
         if status >= 400 and status != 404:
             kind = StoreErrorKind.UNKNOWN if status >= 500 else StoreErrorKind.REFUSED
             return Err(StoreError(kind, f"the store answered {status}"))
-        self.heard_at_s = now_s()
-        return Ok(StoreAnswer(status, read_index(answer), answer.body))
+        self.answered_at_s = now_s()
+        return Ok(StoreResponse(status, read_index(answer), answer.body))
 
     def build_path(self, key: str) -> str:
         """Return the path of a key below the prefix."""
--- a/ebonyrack/store/store_test.py
+++ b/ebonyrack/store/consul_store_test.py
@@ -6,15 +6,15 @@
 from ebonyrack.core.settings import StoreSettings
 from ebonyrack.standins.key_value import Node
 from ebonyrack.standins.platform import StandinPlatform
-from ebonyrack.store.store import MAXIMUM_VALUE_BYTES
-from ebonyrack.store.store import Store
-from ebonyrack.store.store_answer import StoreErrorKind
+from ebonyrack.store.consul_store import MAXIMUM_VALUE_BYTES
+from ebonyrack.store.consul_store import ConsulStore
+from ebonyrack.store.store_response import StoreErrorKind
 from ebonyrack.store.vm_list import VmList
 
 
 def open_store(address, **options):
     values = {"address": address, "timeout_s": 0.3, "maximum_calls_per_s": 100}
-    return Store(StoreSettings.model_validate(values | options))
+    return ConsulStore(StoreSettings.model_validate(values | options))
 
 
 @pytest.fixture
@@ -67,7 +67,7 @@
     async with asyncio.timeout(10):
         result = await calls[method]()
     assert result.err_value.kind == kind
-    assert store.heard_at_s is None
+    assert store.answered_at_s is None
 
 
 async def test_a_lost_answer_is_unknown_and_has_taken_effect(platform, store):
--- a/ebonyrack/store/follower.py
+++ b/ebonyrack/store/follower.py
@@ -26,7 +26,7 @@
 from ebonyrack.store.backoff import Backoff
 from ebonyrack.store.leasing_store import LeasingStore
 from ebonyrack.store.leasing_store import StoreChanges
-from ebonyrack.store.store_answer import StoreError
+from ebonyrack.store.store_response import StoreError
 
 # While something is missing that the store may bring any moment.
 HURRIED_PAUSE_S = 0.4
@@ -41,66 +41,72 @@
 
 
 @dataclass(frozen=True, slots=True)
-class FollowPlan:
+class FollowOptions:
     """How a part of the store is followed.
 
     Attributes:
         prefix: Start of its keys.
         watch_s: Seconds for which a watch waits for a change; 0 to read at a pace.
         pause_s: Seconds between two reads.
-        may_be_stale: Whether what the store held some seconds ago will do.
+        allow_stale: Whether what the store held some seconds ago will do.
     """
 
     prefix: str
     watch_s: float = 0.0
     pause_s: float = WATCH_PAUSE_S
-    may_be_stale: bool = False
+    allow_stale: bool = False
 
 
-class StoreReach:
+class StoreAvailability:
     """Whether the store answers, as all followers of a process know it.
 
     While it doesn't, one of them asks on and the others wait for it: calls that are
     refused cost the store as much as others.
 
     Attributes:
-        answering_since_s: Time since which it answers, or None.
-        lost_since_s: Time since which it does not, or None.
-        regained: Wakes those who wait for it.
-        doubted: Wakes the follower that asks when a call of another one has failed.
+        available_since_s: Time since which it answers, or None.
+        unavailable_since_s: Time since which it does not, or None.
+        restored: Wakes those who wait for it.
+        failure_reported: Wakes the follower that asks when a call of another one
+            has failed.
     """
 
-    __slots__ = ("answering_since_s", "lost_since_s", "regained", "doubted")
+    __slots__ = (
+        "available_since_s",
+        "unavailable_since_s",
+        "restored",
+        "failure_reported",
+    )
 
     def __init__(self) -> None:
-        self.answering_since_s: float | None = None
-        self.lost_since_s: float | None = boot_time_s()
-        self.regained = Signal()
-        self.doubted = Signal()
+        self.available_since_s: float | None = None
+        self.unavailable_since_s: float | None = boot_time_s()
+        self.restored = Signal()
+        self.failure_reported = Signal()
 
-    def measure_answering(self) -> float:
+    def compute_available_s(self) -> float:
         """Return for how long the store has answered without a failure, in seconds."""
-        since_s = self.answering_since_s
+        since_s = self.available_since_s
         return boot_time_s() - since_s if since_s is not None else 0.0
 
-    def measure_silence(self) -> float:
+    def compute_unavailable_s(self) -> float:
         """Return for how long the store has not answered, in seconds."""
-        since_s = self.lost_since_s
+        since_s = self.unavailable_since_s
         return boot_time_s() - since_s if since_s is not None else 0.0
 
-    def note_answering(self) -> None:
+    def record_available(self) -> None:
         """Note that the store answers."""
-        if self.answering_since_s is None:
-            self.answering_since_s = boot_time_s()
-            self.lost_since_s = None
+        if self.available_since_s is None:
+            self.available_since_s = boot_time_s()
+            self.unavailable_since_s = None
             logger.info("store_answers")
-            self.regained.notify()
+            self.restored.notify()
 
-    def note_lost(self, error: StoreError) -> None:
+    def record_unavailable(self, error: StoreError) -> None:
         """Note that the store does not answer."""
-        if self.answering_since_s is not None:
-            self.answering_since_s = None
-            self.lost_since_s = boot_time_s()
+        if self.available_since_s is not None:
+            self.available_since_s = None
+            self.unavailable_since_s = boot_time_s()
             logger.bind(kind=error.kind, reason=error.reason).warning("store_lost")
 
 
@@ -113,8 +119,8 @@
         apply: Takes over what was read.
         is_hurried: Tells whether something is missing that changes may bring.
         revision: Revision from which the next watch goes on; 0 to read anew.
-        reach: Whether the store answers.
-        asks_on: Whether this one asks on while the store doesn't answer.
+        availability: Whether the store answers.
+        probes_store: Whether this one asks on while the store doesn't answer.
         task: Follows the store.
     """
 
@@ -124,27 +130,27 @@
         "apply",
         "is_hurried",
         "revision",
-        "reach",
-        "asks_on",
+        "availability",
+        "probes_store",
         "task",
     )
 
     def __init__(
         self,
         store: LeasingStore,
-        plan: FollowPlan,
+        plan: FollowOptions,
         apply: Apply,
         is_hurried: Callable[[], bool],
-        reach: StoreReach,
-        asks_on: bool = False,
+        availability: StoreAvailability,
+        probes_store: bool = False,
     ) -> None:
         self.store = store
         self.plan = plan
         self.apply = apply
         self.is_hurried = is_hurried
         self.revision = 0
-        self.reach = reach
-        self.asks_on = asks_on
+        self.availability = availability
+        self.probes_store = probes_store
         self.task: asyncio.Task[None] | None = None
 
     async def start(self) -> None:
@@ -167,8 +173,8 @@
                 self.note_failed(result.err_value)
                 await self.wait_for_store(backoff.choose_delay())
                 continue
-            if self.asks_on:
-                self.reach.note_answering()
+            if self.probes_store:
+                self.availability.record_available()
             backoff.reset()
             pause_s = self.plan.pause_s
             if self.is_hurried():
@@ -177,8 +183,8 @@
 
     async def pause(self, pause_s: float) -> None:
         """Wait before the next call; the one that asks is woken by doubts."""
-        if self.asks_on:
-            await self.reach.doubted.wait(pause_s)
+        if self.probes_store:
+            await self.availability.failure_reported.wait(pause_s)
         else:
             await asyncio.sleep(pause_s)
 
@@ -187,7 +193,7 @@
         found: Result[StoreChanges | None, StoreError]
         plan = self.plan
         if self.revision == 0 or plan.watch_s == 0.0:
-            found = await self.store.read_prefix(plan.prefix, plan.may_be_stale)
+            found = await self.store.read_prefix(plan.prefix, plan.allow_stale)
         else:
             found = await self.store.watch_prefix(
                 plan.prefix, self.revision, plan.watch_s
@@ -205,17 +211,17 @@
 
     def note_failed(self, error: StoreError) -> None:
         """Note a call that failed; a watch may be cut while the store answers."""
-        if self.asks_on:
-            self.reach.note_lost(error)
+        if self.probes_store:
+            self.availability.record_unavailable(error)
             return
         logger.bind(prefix=self.plan.prefix, kind=error.kind, reason=error.reason).info(
             "store_call_failed"
         )
-        self.reach.doubted.notify()
+        self.availability.failure_reported.notify()
 
     async def wait_for_store(self, delay_s: float) -> None:
         """Wait before the next call after one that failed."""
-        if self.asks_on or self.reach.answering_since_s is not None:
+        if self.probes_store or self.availability.available_since_s is not None:
             await asyncio.sleep(delay_s)
         else:
-            await self.reach.regained.wait(LONGEST_WAIT_S)
+            await self.availability.restored.wait(LONGEST_WAIT_S)
--- a/ebonyrack/store/follower_test.py
+++ b/ebonyrack/store/follower_test.py
@@ -3,12 +3,12 @@
 from result import Err
 from result import Ok
 
-from ebonyrack.store.follower import FollowPlan
+from ebonyrack.store.follower import FollowOptions
+from ebonyrack.store.follower import StoreAvailability
 from ebonyrack.store.follower import StoreFollower
-from ebonyrack.store.follower import StoreReach
 from ebonyrack.store.leasing_store import StoreChanges
-from ebonyrack.store.store_answer import StoreError
-from ebonyrack.store.store_answer import StoreErrorKind
+from ebonyrack.store.store_response import StoreError
+from ebonyrack.store.store_response import StoreErrorKind
 
 REFUSED = Err(StoreError(StoreErrorKind.REFUSED, "busy"))
 
@@ -20,7 +20,7 @@
         self.answers = []
         self.calls = []
 
-    async def read_prefix(self, prefix, may_be_stale=False):
+    async def read_prefix(self, prefix, allow_stale=False):
         self.calls.append("read")
         return await self.answer()
 
@@ -34,13 +34,15 @@
         await asyncio.Event().wait()
 
 
-def build_follower(store, plan, reach, asks_on=False):
+def build_follower(store, plan, availability, probes_store=False):
     seen = []
 
     async def apply(changes):
         seen.append(changes.revision)
 
-    follower = StoreFollower(store, plan, apply, lambda: False, reach, asks_on)
+    follower = StoreFollower(
+        store, plan, apply, lambda: False, availability, probes_store
+    )
     return follower, seen
 
 
@@ -53,10 +55,10 @@
 
 async def test_a_watch_goes_on_from_what_was_read_and_reads_anew_after_lost_history():
     store = FakeStore()
-    whole = Ok(StoreChanges((), (), 7, is_whole=True))
+    whole = Ok(StoreChanges((), (), 7, is_complete=True))
     store.answers = [whole, Ok(StoreChanges((), (), 9)), Ok(None), whole]
-    plan = FollowPlan("op/", watch_s=1.0, pause_s=0.0)
-    follower, seen = build_follower(store, plan, StoreReach())
+    plan = FollowOptions("op/", watch_s=1.0, pause_s=0.0)
+    follower, seen = build_follower(store, plan, StoreAvailability())
     await follow(follower, lambda: len(store.calls) == 5)
     assert store.calls == ["read", "watch 7", "watch 9", "read", "watch 7"]
     assert seen == [7, 9, 7]
@@ -65,26 +67,26 @@
 async def test_a_watch_that_is_cut_goes_on_at_once_while_the_store_answers():
     store = FakeStore()
     store.answers = [Ok(StoreChanges((), (), 7)), REFUSED, Ok(StoreChanges((), (), 8))]
-    reach = StoreReach()
-    reach.note_answering()
-    plan = FollowPlan("op/", watch_s=1.0, pause_s=0.0)
-    follower, seen = build_follower(store, plan, reach)
+    availability = StoreAvailability()
+    availability.record_available()
+    plan = FollowOptions("op/", watch_s=1.0, pause_s=0.0)
+    follower, seen = build_follower(store, plan, availability)
     started_s = asyncio.get_running_loop().time()
     await follow(follower, lambda: seen == [7, 8])
     assert asyncio.get_running_loop().time() - started_s < 0.5
-    assert reach.answering_since_s is not None
+    assert availability.available_since_s is not None
 
 
 async def test_after_a_watch_was_cut_all_is_read_anew():
     # A watch that is made anew right after the cut, before the store drops its
     # history, hears of nothing that was changed before.
     store = FakeStore()
-    whole = Ok(StoreChanges((), (), 7, is_whole=True))
+    whole = Ok(StoreChanges((), (), 7, is_complete=True))
     store.answers = [whole, REFUSED, whole]
-    reach = StoreReach()
-    reach.note_answering()
-    plan = FollowPlan("op/", watch_s=1.0, pause_s=0.0)
-    follower, _ = build_follower(store, plan, reach)
+    availability = StoreAvailability()
+    availability.record_available()
+    plan = FollowOptions("op/", watch_s=1.0, pause_s=0.0)
+    follower, _ = build_follower(store, plan, availability)
     await follow(follower, lambda: len(store.calls) == 4)
     assert store.calls == ["read", "watch 7", "read", "watch 7"]
 
@@ -92,12 +94,12 @@
 async def test_one_follower_asks_on_for_all_while_the_store_is_lost():
     store = FakeStore()
     store.answers = [REFUSED] * 3
-    reach = StoreReach()
-    follower, _ = build_follower(store, FollowPlan("op/", watch_s=1.0), reach)
+    availability = StoreAvailability()
+    follower, _ = build_follower(store, FollowOptions("op/", watch_s=1.0), availability)
     async with follower:
         await asyncio.sleep(0.5)
         assert len(store.calls) == 1
-        reach.note_answering()
+        availability.record_available()
         await asyncio.sleep(0.05)
         assert len(store.calls) == 2
 
@@ -105,12 +107,16 @@
 async def test_the_one_that_asks_does_so_at_once_when_a_call_of_another_has_failed():
     # The store is stopped right after the entries were read; they are read again
     # 3 s later, while callers wait to be let go.
-    asking, watching, reach = FakeStore(), FakeStore(), StoreReach()
-    asking.answers = [Ok(StoreChanges((), (), 7, is_whole=True)), REFUSED]
-    entries, _ = build_follower(asking, FollowPlan("in/", pause_s=60.0), reach, True)
-    routes, _ = build_follower(watching, FollowPlan("op/", watch_s=1.0), reach)
+    asking, watching, availability = FakeStore(), FakeStore(), StoreAvailability()
+    asking.answers = [Ok(StoreChanges((), (), 7, is_complete=True)), REFUSED]
+    entries, _ = build_follower(
+        asking, FollowOptions("in/", pause_s=60.0), availability, True
+    )
+    routes, _ = build_follower(
+        watching, FollowOptions("op/", watch_s=1.0), availability
+    )
     async with entries:
         await asyncio.sleep(0.05)
-        assert reach.lost_since_s is None
+        assert availability.unavailable_since_s is None
         watching.answers = [REFUSED]
-        await follow(routes, lambda: reach.lost_since_s is not None)
+        await follow(routes, lambda: availability.unavailable_since_s is not None)
--- a/ebonyrack/store/http_client.py
+++ b/ebonyrack/store/http_client.py
@@ -13,8 +13,8 @@
 
 from ebonyrack.core.address import Address
 from ebonyrack.core.owner import Owner
-from ebonyrack.store.store_answer import StoreError
-from ebonyrack.store.store_answer import StoreErrorKind
+from ebonyrack.store.store_response import StoreError
+from ebonyrack.store.store_response import StoreErrorKind
 
 MAXIMUM_CONNECTIONS = 4
 KEEPALIVE_S = 30.0
@@ -27,7 +27,7 @@
 UNACKNOWLEDGED_MS = 2000
 SocketOptions = tuple[tuple[int, int, int], ...]
 
-PROBING: SocketOptions = (
+KEEPALIVE_OPTIONS: SocketOptions = (
     (socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1),
     (socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, PROBE_AFTER_S),
     (socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, PROBE_INTERVAL_S),
@@ -37,7 +37,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class HttpCall:
+class HttpRequest:
     """One call.
 
     Attributes:
@@ -58,7 +58,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class HttpAnswer:
+class HttpResponse:
     """Status, headers and body of an answer, whatever the status is."""
 
     status: int
@@ -74,8 +74,8 @@
 
     Attributes:
         address: Address of the service.
-        socket_options: Options of each connection; `PROBING` for those on which an
-            answer may be held back for long.
+        socket_options: Options of each connection; `KEEPALIVE_OPTIONS` for those on
+            which an answer may be held back for long.
         pool: HTTP connections; set while open.
     """
 
@@ -100,7 +100,7 @@
             await self.pool.aclose()
             self.pool = None
 
-    async def call(self, call: HttpCall) -> Result[HttpAnswer, StoreError]:
+    async def send(self, call: HttpRequest) -> Result[HttpResponse, StoreError]:
         """Make one call and sort what may come back.
 
         Args:
@@ -134,4 +134,4 @@
         except (httpcore.TimeoutException, TimeoutError) as error:
             return Err(StoreError(StoreErrorKind.UNKNOWN, repr(error)))
         headers = tuple(response.headers)
-        return Ok(HttpAnswer(response.status, headers, response.content))
+        return Ok(HttpResponse(response.status, headers, response.content))
--- a/ebonyrack/store/leasing_store.py
+++ b/ebonyrack/store/leasing_store.py
@@ -7,7 +7,7 @@
 
 from result import Result
 
-from ebonyrack.store.store_answer import StoreError
+from ebonyrack.store.store_response import StoreError
 
 
 @dataclass(frozen=True, slots=True)
@@ -35,13 +35,13 @@
         items: Items that were written.
         deleted: Keys that are gone.
         revision: Revision from which the next watch goes on.
-        is_whole: Whether `items` is all there is, in place of a change.
+        is_complete: Whether `items` is all there is, in place of a change.
     """
 
     items: tuple[StoreItem, ...]
     deleted: tuple[str, ...]
     revision: int
-    is_whole: bool = False
+    is_complete: bool = False
 
 
 @dataclass(frozen=True, slots=True)
@@ -65,7 +65,7 @@
     """What the parts of a proxy use of the platform's store."""
 
     async def read_prefix(
-        self, prefix: str, may_be_stale: bool = False
+        self, prefix: str, allow_stale: bool = False
     ) -> Result[StoreChanges, StoreError]:
         """Read all keys with a prefix; stale reads cost the store less."""
 
--- a/ebonyrack/store/store_answer.py
+++ b/ebonyrack/store/store_response.py
@@ -15,7 +15,7 @@
 from result import Result
 
 if TYPE_CHECKING:
-    from ebonyrack.store.http_client import HttpAnswer
+    from ebonyrack.store.http_client import HttpResponse
 
 
 class StoreErrorKind(StrEnum):
@@ -49,7 +49,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class StoreAnswer:
+class StoreResponse:
     """Answer of the store to one HTTP call."""
 
     status: int
@@ -57,7 +57,7 @@
     body: bytes
 
 
-def read_index(answer: HttpAnswer) -> int:
+def read_index(answer: HttpResponse) -> int:
     """Return the index that a watch goes on from, 0 if there is none."""
     for name, value in answer.headers:
         if name.lower() == b"x-consul-index" and value.isdigit():
@@ -65,7 +65,7 @@
     return 0
 
 
-def read_value(answer: StoreAnswer) -> Result[StoreValue | None, StoreError]:
+def read_value(answer: StoreResponse) -> Result[StoreValue | None, StoreError]:
     """Read the value out of an answer."""
     if answer.status == 404:
         return Ok(None)
@@ -77,7 +77,7 @@
         return Err(StoreError(StoreErrorKind.UNKNOWN, f"bad answer: {error!r}"))
 
 
-def read_success(answer: StoreAnswer) -> Result[bool, StoreError]:
+def read_success(answer: StoreResponse) -> Result[bool, StoreError]:
     """Read whether a swap was made."""
     text = answer.body.strip()
     if text in (b"true", b"false"):
--- a/ebonyrack/store/vm_list.py
+++ b/ebonyrack/store/vm_list.py
@@ -10,10 +10,10 @@
 from result import Ok
 from result import Result
 
-from ebonyrack.store.store import Store
-from ebonyrack.store.store_answer import StoreAnswer
-from ebonyrack.store.store_answer import StoreError
-from ebonyrack.store.store_answer import StoreErrorKind
+from ebonyrack.store.consul_store import ConsulStore
+from ebonyrack.store.store_response import StoreError
+from ebonyrack.store.store_response import StoreErrorKind
+from ebonyrack.store.store_response import StoreResponse
 
 NODES_PATH = "/v1/catalog/nodes"
 LEAVING_STATE = "leaving"
@@ -45,7 +45,7 @@
 
     __slots__ = ("store", "listing")
 
-    def __init__(self, store: Store) -> None:
+    def __init__(self, store: ConsulStore) -> None:
         self.store = store
         self.listing = EMPTY_LISTING
 
@@ -71,7 +71,7 @@
             self.listing = found.ok_value
         return found
 
-    def take_over(self, listing: VmListing) -> bool:
+    def update_if_newer(self, listing: VmListing) -> bool:
         """Take over what a peer heard, unless it is older.
 
         Args:
@@ -86,7 +86,7 @@
         return True
 
 
-def read_listing(answer: StoreAnswer) -> Result[VmListing, StoreError]:
+def read_listing(answer: StoreResponse) -> Result[VmListing, StoreError]:
     """Read the names of the leaving VMs out of an answer."""
     try:
         nodes: list[dict[str, Any]] = json.loads(answer.body)
