--- a/ebonyrack/members/presence.py
+++ b/ebonyrack/members/presence.py
@@ -87,7 +87,7 @@
             if key.startswith(PREFIX)
         }
         known = self.live_names
-        self.live_names = found if changes.is_whole else (known | found) - gone
+        self.live_names = found if changes.is_complete else (known | found) - gone
         self.record_departed(known - self.live_names)
         if self.live_count != before:
             logger.bind(before=before, live=self.live_count).info("proxies_counted")
