--- a/ebonyrack/config/identification.py
+++ b/ebonyrack/config/authentication.py
@@ -21,7 +21,7 @@
 from ebonyrack.peers.operator_messages import AuthenticateRequest
 
 
-class OperatorIdentification:
+class OperatorAuthentication:
     """Lets operators prove who they are by SCRAM.
 
     Attributes:
@@ -34,7 +34,7 @@
     def __init__(self, state: ConfigurationState, hub: PeerHub) -> None:
         self.state = state
         self.exchanges: dict[PeerLink, Any] = {}
-        hub.handle(AuthenticateRequest, self.authenticate)
+        hub.register_handler(AuthenticateRequest, self.authenticate)
 
     def find_operator(self, name: str) -> OperatorSection | None:
         """Return an operator's section of the document in force."""
@@ -96,7 +96,7 @@
 
         return ScramMechanism(MECHANISM).make_server(find_keys)
 
-    def is_identified(self, link: PeerLink, name: str) -> bool:
+    def is_authenticated(self, link: PeerLink, name: str) -> bool:
         """Tell whether the other side of a link is an operator.
 
         An operator without a verifier is trusted for knowing the shared secret.
--- a/ebonyrack/config/edit_handler.py
+++ b/ebonyrack/config/edit_handler.py
@@ -6,13 +6,13 @@
 
 from loguru import logger
 
+from ebonyrack.config.authentication import OperatorAuthentication
 from ebonyrack.config.edit import Accepted
 from ebonyrack.config.edit import Edit
 from ebonyrack.config.edit import NotAccepted
 from ebonyrack.config.edit import Outcome
 from ebonyrack.config.edit import Refused
 from ebonyrack.config.edit_attempt import EditAttempt
-from ebonyrack.config.identification import OperatorIdentification
 from ebonyrack.config.state import ConfigurationState
 from ebonyrack.core.clock import now_s
 from ebonyrack.peers.document_messages import AskDocument
@@ -44,23 +44,23 @@
         store: The platform's store.
         hub: Links to the peers and operators.
         edit_places: Bounds the edits that run at once.
-        identification: Knows which operator is at a link.
+        authentication: Knows which operator is at a link.
     """
 
-    __slots__ = ("state", "store", "hub", "edit_places", "identification")
+    __slots__ = ("state", "store", "hub", "edit_places", "authentication")
 
     def __init__(self, state: ConfigurationState, store: Store, hub: PeerHub) -> None:
         self.state = state
         self.store = store
         self.hub = hub
         self.edit_places = asyncio.Semaphore(MAXIMUM_EDITS)
-        self.identification = OperatorIdentification(state, hub)
-        hub.handle(EditRequest, self.edit)
-        hub.handle(AskRevisions, self.answer_revisions)
+        self.authentication = OperatorAuthentication(state, hub)
+        hub.register_handler(EditRequest, self.edit)
+        hub.register_handler(AskRevisions, self.answer_revisions)
 
     async def edit(self, link: PeerLink, message: EditRequest) -> Message:
         """Try to get an operator's edit accepted."""
-        if not self.identification.is_identified(link, message.operator):
+        if not self.authentication.is_authenticated(link, message.operator):
             reason = f"operator {message.operator!r} has not proved its identity"
             return EditReply("refused", reasons=(reason,))
         edit = Edit(
@@ -92,11 +92,11 @@
 
     async def ask_revision(self, member: Member, places: asyncio.Semaphore) -> int:
         """Return the revision that a proxy runs, 0 if it isn't reached."""
-        if member.name == self.hub.membership.own.name:
+        if member.name == self.hub.membership.local.name:
             return self.state.revision
         async with places:
             try:
-                reply = await self.hub.ask(
+                reply = await self.hub.request(
                     member.name, AskDocument(NO_DOCUMENT), ASK_TIMEOUT_S
                 )
             except PeerLostError:
--- a/ebonyrack/config/leaving_vms.py
+++ b/ebonyrack/config/leaving_vms.py
@@ -33,7 +33,7 @@
         self.vm_list = VmList(store)
         self.reported: frozenset[str] = frozenset()
         self.callbacks: list[Callable[[], None]] = []
-        hub.handle(VmNews, self.receive_news)
+        hub.register_handler(VmNews, self.receive_news)
         hub.link_callbacks.append(self.tell_peer)
 
     @property
--- a/ebonyrack/config/spread.py
+++ b/ebonyrack/config/spread.py
@@ -46,9 +46,9 @@
         self.hub = hub
         self.fetching = asyncio.Lock()
         state.subscribe(self.tell_peers)
-        hub.handle(DocumentNews, self.receive_news)
-        hub.handle(Heartbeat, self.receive_heartbeat)
-        hub.handle(AskDocument, self.receive_ask)
+        hub.register_handler(DocumentNews, self.receive_news)
+        hub.register_handler(Heartbeat, self.receive_heartbeat)
+        hub.register_handler(AskDocument, self.receive_ask)
 
     def tell_peers(self, document: Document) -> None:
         """Tell the linked peers of a revision that came into force here.
@@ -90,7 +90,9 @@
     async def fetch_now(self, link: PeerLink) -> None:
         """Ask a peer for what it has above the present revision."""
         try:
-            reply = await link.ask(AskDocument(self.state.revision), FETCH_TIMEOUT_S)
+            reply = await link.request(
+                AskDocument(self.state.revision), FETCH_TIMEOUT_S
+            )
             await self.take_reply(link, reply)
         except PeerLostError as error:
             logger.bind(peer=link.member.name, reason=error.reason).warning(
@@ -105,7 +107,7 @@
         """
         if isinstance(reply, ChangesReply) and not self.take_changes(link, reply):
             # The changes didn't fit, so the whole document is needed.
-            reply = await link.ask(AskDocument(0), FETCH_TIMEOUT_S)
+            reply = await link.request(AskDocument(0), FETCH_TIMEOUT_S)
         if isinstance(reply, DocumentReply) and reply.stored:
             self.state.offer_bytes(reply.stored, link.member.name)
 
--- a/ebonyrack/config/verification.py
+++ b/ebonyrack/config/verification.py
@@ -86,7 +86,7 @@
         """Take over what a peer has; return whether it answered."""
         revision = self.spread.state.revision
         try:
-            reply = await link.ask(AskDocument(revision), FETCH_TIMEOUT_S)
+            reply = await link.request(AskDocument(revision), FETCH_TIMEOUT_S)
             await self.spread.take_reply(link, reply)
         except PeerLostError:
             return False
--- a/ebonyrack/config/watch.py
+++ b/ebonyrack/config/watch.py
@@ -92,7 +92,7 @@
     @property
     def is_watcher(self) -> bool:
         """Whether this proxy watches the store for its data centre."""
-        own = self.hub.membership.own
+        own = self.hub.membership.local
         peers = [
             member
             for member in self.hub.membership.live_members()
--- a/ebonyrack/config/watch_test.py
+++ b/ebonyrack/config/watch_test.py
@@ -206,5 +206,5 @@
     watcher.hub.send_to_links = lambda message, source: None
     async with asyncio.timeout(10):
         await accept(watcher, "user = booking", "user = new", "second")
-    assert Heartbeat in other.hub.callbacks
+    assert Heartbeat in other.hub.handlers
     await fleet.wait_revision(2)
--- a/ebonyrack/failover/bench_test.py
+++ b/ebonyrack/failover/bench_test.py
@@ -81,20 +81,20 @@
     def __init__(self, network, name):
         self.network = network
         self.name = name
-        self.callbacks = {}
+        self.handlers = {}
         self.tasks = set()
         network.hubs[name] = self
 
-    def handle(self, message_type, callback):
+    def register_handler(self, message_type, callback):
         """Register a coroutine for a type of message."""
-        self.callbacks.setdefault(message_type, []).append(callback)
+        self.handlers.setdefault(message_type, []).append(callback)
 
     async def dispatch(self, message):
         """Call what is registered for a message."""
-        replies = [await item(None, message) for item in self.callbacks[type(message)]]
+        replies = [await item(None, message) for item in self.handlers[type(message)]]
         return next((reply for reply in replies if reply is not None), None)
 
-    async def ask(self, peer_name, message, timeout_s):
+    async def request(self, peer_name, message, timeout_s):
         """Ask a peer; a cut link gives no answer."""
         peer = self.network.hubs.get(peer_name)
         if peer is None or self.network.is_cut(self.name, peer_name):
@@ -115,7 +115,7 @@
     """A table of proxies that the test fills."""
 
     def __init__(self, name, names):
-        self.own = SimpleNamespace(name=name)
+        self.local = SimpleNamespace(name=name)
         self.names = names
         self.callbacks = []
 
--- a/ebonyrack/failover/coordinator.py
+++ b/ebonyrack/failover/coordinator.py
@@ -150,7 +150,7 @@
         self.has_membership_changed = False
         names = [member.name for member in self.membership.live_members()]
         ranking = rank_members(self.group.name, names)[:COORDINATORS]
-        own_name = self.membership.own.name
+        own_name = self.membership.local.name
         rank = ranking.index(own_name) if own_name in ranking else None
         if rank != self.rank:
             log_decision("coordinator_rank", group=self.group.name, rank=rank)
--- a/ebonyrack/failover/pre_vote.py
+++ b/ebonyrack/failover/pre_vote.py
@@ -68,7 +68,7 @@
         The outcome. News of a higher term is taken over and grants nothing.
     """
     term = group.term
-    own_name = membership.own.name
+    own_name = membership.local.name
     names = [member.name for member in membership.live_members()]
     voters = [name for name in rank_members(group.name, names) if name != own_name]
     voters = voters[:VOTERS]
@@ -102,7 +102,7 @@
         Its opinion, or None if there was no answer in time.
     """
     try:
-        reply = await hub.ask(name, message, ASK_TIMEOUT_S)
+        reply = await hub.request(name, message, ASK_TIMEOUT_S)
     except PeerLostError:
         return None
     return reply if isinstance(reply, PrimaryOpinion) else None
@@ -119,9 +119,9 @@
 
     def __init__(self, hub: PeerHub, groups: dict[str, DatabaseGroup]) -> None:
         self.groups = groups
-        hub.handle(AskPrimary, self.answer)
-        hub.handle(PrimarySeen, self.take_news)
-        hub.handle(HoldWrites, self.hold_writes)
+        hub.register_handler(AskPrimary, self.answer)
+        hub.register_handler(PrimarySeen, self.take_news)
+        hub.register_handler(HoldWrites, self.hold_writes)
 
     async def answer(self, link: PeerLink, message: AskPrimary) -> Message:
         """Say whether this proxy reaches a group's primary.
--- a/ebonyrack/failover/switchover.py
+++ b/ebonyrack/failover/switchover.py
@@ -205,7 +205,7 @@
         return [
             self.ask_peer(member.name, message)
             for member in membership.live_members()
-            if member.name != membership.own.name
+            if member.name != membership.local.name
         ]
 
     async def ask_peer(self, name: str, message: HoldWrites) -> bool:
@@ -219,7 +219,7 @@
             Whether it has no transaction open, or can't be asked.
         """
         try:
-            reply = await self.coordinator.hub.ask(name, message, ASK_TIMEOUT_S)
+            reply = await self.coordinator.hub.request(name, message, ASK_TIMEOUT_S)
         except PeerLostError:
             return True
         return not isinstance(reply, WritesHeld) or reply.is_drained
--- a/ebonyrack/ops/client.py
+++ b/ebonyrack/ops/client.py
@@ -109,7 +109,7 @@
         """
         if self.link is None:
             raise PeerLostError("the link is not open")
-        reply = await self.link.ask(message, timeout_s or self.access.timeout_s)
+        reply = await self.link.request(message, timeout_s or self.access.timeout_s)
         if not isinstance(reply, reply_type):
             raise PeerLostError(f"unexpected reply {type(reply).__name__}")
         return reply
--- a/ebonyrack/ops/ctl_test.py
+++ b/ebonyrack/ops/ctl_test.py
@@ -123,7 +123,7 @@
         link_closed.append(message.edit_id)
         link.close()
 
-    callbacks = fleet.planes[0].hub.callbacks[EditRequest]
+    callbacks = fleet.planes[0].hub.handlers[EditRequest]
     callbacks.append(cut_link)
     changed = tool.write(TEXT.replace("user = booking", "user = new"))
     status, report = await tool.run("config", "apply", changed)
@@ -141,7 +141,7 @@
     async def cut_link(link, message):
         link.close()
 
-    fleet.planes[0].hub.callbacks[EditRequest].append(cut_link)
+    fleet.planes[0].hub.handlers[EditRequest].append(cut_link)
     tool.options += ["--proxy", str(fleet.planes[1].hub.address)]
     changed = tool.write(TEXT.replace("user = booking", "user = new"))
     status, report = await tool.run("config", "apply", changed)
--- a/ebonyrack/peers/contacts.py
+++ b/ebonyrack/peers/contacts.py
@@ -147,7 +147,7 @@
         if not self.is_sparse or not self.hub.links:
             wanted.extend(self.hub.settings.peers.seeds)
         wanted.extend(self.choose_recontact(linked))
-        own = membership.own.address
+        own = membership.local.address
         return [
             address
             for address in dict.fromkeys(wanted)
@@ -161,7 +161,7 @@
         live = [member for member in others if member.state < MemberState.DEAD]
         if not self.is_sparse:
             return live
-        own_name = membership.own.name
+        own_name = membership.local.name
         return heapq.nsmallest(
             NEIGHBOURS, live, key=lambda other: rank_pair(own_name, other.name)
         )
@@ -193,7 +193,7 @@
         """Return how long to leave the first attempt to the other side, in seconds."""
         for entry in self.hub.membership.entries.values():
             if entry.member.address == address:
-                is_higher = self.hub.membership.own.name > entry.member.name
+                is_higher = self.hub.membership.local.name > entry.member.name
                 return HIGHER_NAME_DELAY_S if is_higher else 0.0
         return 0.0
 
--- a/ebonyrack/peers/flood.py
+++ b/ebonyrack/peers/flood.py
@@ -36,7 +36,7 @@
     def __init__(self, hub: PeerHub) -> None:
         self.hub = hub
         self.seen: OrderedDict[int, None] = OrderedDict()
-        hub.handle(Flood, self.receive)
+        hub.register_handler(Flood, self.receive)
 
     def broadcast(self, message: Message) -> None:
         """Send a one-way message to all proxies.
--- a/ebonyrack/peers/heartbeat.py
+++ b/ebonyrack/peers/heartbeat.py
@@ -52,8 +52,8 @@
         self.has_news = asyncio.Event()
         self.task: asyncio.Task[None] | None = None
         self.pauses = PauseDetector(hub.settings.peers.suspect_after_s)
-        hub.handle(Heartbeat, self.receive_heartbeat)
-        hub.handle(AskMembers, self.receive_ask_members)
+        hub.register_handler(Heartbeat, self.receive_heartbeat)
+        hub.register_handler(AskMembers, self.receive_ask_members)
 
     async def start(self) -> None:
         """Start to beat."""
@@ -140,7 +140,7 @@
         if queued:
             self.has_news.set()
         heartbeat = Heartbeat(
-            incarnation=self.hub.membership.own.incarnation,
+            incarnation=self.hub.membership.local.incarnation,
             revision=self.hub.revision,
             digest=self.hub.membership.digest,
             interval_ms=round(self.interval_s * 1000),
@@ -200,7 +200,7 @@
         """
         self.synced_at_s = now_s()
         try:
-            reply = await link.ask(AskMembers(), SYNC_TIMEOUT_S)
+            reply = await link.request(AskMembers(), SYNC_TIMEOUT_S)
         except PeerLostError:
             return
         if not isinstance(reply, MembersReply):
--- a/ebonyrack/peers/hub.py
+++ b/ebonyrack/peers/hub.py
@@ -62,7 +62,7 @@
         self.traffic = Traffic()
         self.revision = 0
         self.heard_at_s = 0.0
-        self.callbacks: dict[type[Message], list[Callback]] = {}
+        self.handlers: dict[type[Message], list[Callback]] = {}
         self.link_callbacks: list[Callable[[PeerLink], None]] = []
         self.pause_callbacks: list[Callable[[float], None]] = []
         self.tasks: set[asyncio.Task[None]] = set()
@@ -74,8 +74,8 @@
         self.server: asyncio.Server | None = None
         self.accepted = 0
         self.is_closing = False
-        self.handle(Leaving, self.receive_leaving)
-        self.handle(Unlink, self.receive_unlink)
+        self.register_handler(Leaving, self.receive_leaving)
+        self.register_handler(Unlink, self.receive_unlink)
 
     async def start(self) -> None:
         """Listen, dial and beat."""
@@ -103,9 +103,9 @@
     @property
     def address(self) -> Address:
         """Where this proxy listens for peers."""
-        return self.membership.own.address
+        return self.membership.local.address
 
-    def handle(self, message_type: type[Message], callback: Callback) -> None:
+    def register_handler(self, message_type: type[Message], callback: Callback) -> None:
         """Register a coroutine for a type of message.
 
         Args:
@@ -113,7 +113,7 @@
             callback: Called with the link and the message; the first reply that
                 a callback of the type returns answers a request.
         """
-        self.callbacks.setdefault(message_type, []).append(callback)
+        self.handlers.setdefault(message_type, []).append(callback)
 
     async def dispatch(self, link: PeerLink, message: Message) -> Message | None:
         """Call what is registered for a message.
@@ -125,7 +125,7 @@
         Returns:
             The reply, if one is due.
         """
-        callbacks = self.callbacks.get(type(message))
+        callbacks = self.handlers.get(type(message))
         if callbacks is None:
             return Failure(f"{type(message).__name__} is not handled here")
         reply = None
@@ -159,7 +159,7 @@
         return PeerLink(
             reader,
             writer,
-            build_hello(self.membership.own, PROXY_ROLE),
+            build_hello(self.membership.local, PROXY_ROLE),
             False,
             self.settings.peers.secret,
             self.dispatch,
@@ -187,7 +187,7 @@
         """
         link = await dial(
             address,
-            build_hello(self.membership.own, PROXY_ROLE),
+            build_hello(self.membership.local, PROXY_ROLE),
             self.settings.peers.secret,
             self.dispatch,
             self.traffic,
@@ -215,7 +215,7 @@
             Whether it is the one from now on.
         """
         name = link.member.name
-        if name == self.membership.own.name:
+        if name == self.membership.local.name:
             return False
         present = self.links.get(name)
         if present is not None and not self.is_better(link, present):
@@ -244,7 +244,7 @@
             return True
         if link.is_dialler == present.is_dialler:
             return True
-        return link.is_dialler == (self.membership.own.name < link.member.name)
+        return link.is_dialler == (self.membership.local.name < link.member.name)
 
     def drop(self, link: PeerLink) -> None:
         """Forget a link that ended; look after a peer whose link broke."""
@@ -275,7 +275,9 @@
         if link is not None and member.state is MemberState.DEAD:
             link.close()
 
-    async def ask(self, peer_name: str, message: Message, timeout_s: float) -> Message:
+    async def request(
+        self, peer_name: str, message: Message, timeout_s: float
+    ) -> Message:
         """Ask one peer, over a link of its own if there is none yet.
 
         Args:
@@ -291,7 +293,7 @@
         """
         link = self.links.get(peer_name)
         if link is not None:
-            return await link.ask(message, timeout_s)
+            return await link.request(message, timeout_s)
         member = self.membership.find(peer_name)
         if member is None:
             raise PeerLostError(f"{peer_name} is not known")
@@ -305,11 +307,11 @@
         self, address: Address, message: Message, timeout_s: float
     ) -> Message:
         """Ask over a link that lasts for one request."""
-        hello = build_hello(self.membership.own, QUERY_ROLE)
+        hello = build_hello(self.membership.local, QUERY_ROLE)
         secret = self.settings.peers.secret
         link = await dial(address, hello, secret, traffic=self.traffic)
         async with link:
-            return await link.ask(message, timeout_s)
+            return await link.request(message, timeout_s)
 
     def tell(self, peer_name: str, message: Message) -> None:
         """Send a one-way message to a linked peer; without a link it is dropped."""
--- a/ebonyrack/peers/hub_test.py
+++ b/ebonyrack/peers/hub_test.py
@@ -69,7 +69,7 @@
 
 
 def all_live(hubs):
-    names = sorted(hub.membership.own.name for hub in hubs)
+    names = sorted(hub.membership.local.name for hub in hubs)
     return all(live_names(hub) == names for hub in hubs)
 
 
@@ -84,7 +84,7 @@
     membership = Membership(build_settings("proxy-9").proxy, Address("127.0.0.1", 1))
     lacking = membership.digest
     for number in range(4):
-        other = replace(membership.own, name=f"proxy-{number}", incarnation=7)
+        other = replace(membership.local, name=f"proxy-{number}", incarnation=7)
         assert membership.merge(other)
     assert membership.digest != lacking
 
@@ -144,7 +144,7 @@
         await wait_until(lambda: all_live(hubs))
         assert hubs[1].membership.find("late").state is MemberState.DEAD
         again = PeerHub(build_settings("late", [hubs[0].address]))
-        again.membership.own = replace(again.membership.own, incarnation=1)
+        again.membership.local = replace(again.membership.local, incarnation=1)
         async with again:
             await wait_until(lambda: all_live([*hubs, again]))
 
@@ -161,9 +161,9 @@
 async def test_false_suspicion_is_refuted():
     async with start_hubs(3) as hubs:
         await wait_until(lambda: all_live(hubs))
-        first = hubs[1].membership.own.incarnation
+        first = hubs[1].membership.local.incarnation
         hubs[0].membership.declare_dead("proxy-1")
-        await wait_until(lambda: hubs[1].membership.own.incarnation > first)
+        await wait_until(lambda: hubs[1].membership.local.incarnation > first)
         await wait_until(lambda: all_live(hubs))
 
 
@@ -245,29 +245,29 @@
         return PrimaryOpinion(True, message.term, message.primary_name)
 
     async with start_hubs(2) as hubs:
-        hubs[1].handle(AskPrimary, answer)
+        hubs[1].register_handler(AskPrimary, answer)
         await wait_until(lambda: all_live(hubs))
         question = AskPrimary("scheduling-a", "up-1", 7)
-        reply = await hubs[0].ask("proxy-1", question, 5.0)
+        reply = await hubs[0].request("proxy-1", question, 5.0)
         assert reply == PrimaryOpinion(True, 7, "up-1")
         reply = await hubs[0].ask_address(hubs[1].address, question, 5.0)
         assert reply.reachable
         with pytest.raises(PeerLostError):
-            await hubs[1].ask("proxy-0", question, 5.0)
+            await hubs[1].request("proxy-0", question, 5.0)
         with pytest.raises(PeerLostError):
-            await hubs[1].ask("nobody", question, 5.0)
+            await hubs[1].request("nobody", question, 5.0)
 
 
 @pytest.mark.parametrize("count", [3, 14])
 async def test_broadcast_reaches_all_once(count):
     async with start_hubs(count) as hubs:
-        received = {hub.membership.own.name: [] for hub in hubs}
+        received = {hub.membership.local.name: [] for hub in hubs}
         for hub in hubs:
 
-            async def take(link, message, name=hub.membership.own.name):
+            async def take(link, message, name=hub.membership.local.name):
                 received[name].append(message)
 
-            hub.handle(PrimarySeen, take)
+            hub.register_handler(PrimarySeen, take)
         await wait_until(lambda: all_live(hubs))
         await wait_until(lambda: count > 8 or all(len(h.links) == 2 for h in hubs))
         hubs[0].broadcast(PrimarySeen("scheduling-a", 3, "up-2"))
@@ -278,7 +278,7 @@
 
 async def test_wrong_secret_and_other_version_are_refused():
     async with start_hubs(1) as (hub,):
-        own = replace(hub.membership.own, name="stranger")
+        own = replace(hub.membership.local, name="stranger")
         link = await dial(hub.address, build_hello(own, "proxy"), "wrong-secret")
         with pytest.raises(PeerLostError):
             async with link:
@@ -332,8 +332,8 @@
         received.append(message)
 
     async with start_hubs(1) as (hub,):
-        hub.handle(PrimarySeen, take)
-        own = replace(hub.membership.own, name="tool")
+        hub.register_handler(PrimarySeen, take)
+        own = replace(hub.membership.local, name="tool")
         link = await dial(hub.address, build_hello(own, "operator"), SECRET)
         async with link:
             link.send(PrimarySeen("x" * 200_000, 1, "up-1"))
@@ -342,7 +342,7 @@
 
 async def test_a_peer_that_reads_nothing_loses_its_link():
     async with start_hubs(1) as (hub,):
-        own = replace(hub.membership.own, name="frozen")
+        own = replace(hub.membership.local, name="frozen")
         link = await dial(hub.address, build_hello(own, "proxy"), SECRET)
         async with link:
             await wait_until(lambda: "frozen" in hub.links)
--- a/ebonyrack/peers/link.py
+++ b/ebonyrack/peers/link.py
@@ -189,7 +189,7 @@
         else:
             self.write_frame(message, correlation)
 
-    async def ask(self, message: Message, timeout_s: float) -> Message:
+    async def request(self, message: Message, timeout_s: float) -> Message:
         """Send a request and wait for its reply.
 
         Args:
--- a/ebonyrack/peers/membership.py
+++ b/ebonyrack/peers/membership.py
@@ -75,14 +75,14 @@
     """What this proxy knows of itself and the others.
 
     Attributes:
-        own: This proxy's own description.
+        local: This proxy's own description.
         entries: The other proxies by name.
         live_count: Number of proxies that take work, this one included.
         callbacks: Called with a member after each change of its description.
     """
 
     __slots__ = (
-        "own",
+        "local",
         "entries",
         "live_count",
         "callbacks",
@@ -94,7 +94,7 @@
     def __init__(self, settings: ProxySettings, address: Address) -> None:
         # Wall-clock time only makes a higher first number likely; a member that
         # still starts too low learns it from its peers and raises its own.
-        self.own = Member(
+        self.local = Member(
             name=settings.name,
             address=address,
             data_centre=settings.data_centre,
@@ -117,7 +117,7 @@
 
     def set_address(self, address: Address) -> None:
         """Note where this proxy listens, once that is known."""
-        self.own = replace(self.own, address=address)
+        self.local = replace(self.local, address=address)
         self.cached_live = None
 
     def subscribe(self, callback: Callback) -> None:
@@ -138,19 +138,19 @@
         live = [
             entry.member for entry in self.entries.values() if is_live(entry.member)
         ]
-        if is_live(self.own):
-            live.append(self.own)
+        if is_live(self.local):
+            live.append(self.local)
         return tuple(sorted(live, key=get_name))
 
     def all_members(self) -> tuple[Member, ...]:
         """Return every known proxy, this one included, sorted by name."""
         members = [entry.member for entry in self.entries.values()]
-        return tuple(sorted([self.own, *members], key=get_name))
+        return tuple(sorted([self.local, *members], key=get_name))
 
     def find(self, name: str) -> Member | None:
         """Return the member of a name, or None."""
-        if name == self.own.name:
-            return self.own
+        if name == self.local.name:
+            return self.local
         entry = self.entries.get(name)
         return None if entry is None else entry.member
 
@@ -163,7 +163,7 @@
 
     def compute_digest(self) -> int:
         """Hash the members; a suspicion isn't part of it, since it passes."""
-        total = hash_member(self.own)
+        total = hash_member(self.local)
         for entry in self.entries.values():
             total ^= entry.digest
         return total
@@ -177,7 +177,7 @@
         Returns:
             Whether it was news.
         """
-        if offered.name == self.own.name:
+        if offered.name == self.local.name:
             return self.refute(offered)
         entry = self.entries.get(offered.name)
         if entry is None:
@@ -221,10 +221,10 @@
         Returns:
             Whether the own description changed.
         """
-        if offered == self.own or offered.incarnation < self.own.incarnation:
+        if offered == self.local or offered.incarnation < self.local.incarnation:
             return False
-        self.own = replace(self.own, incarnation=offered.incarnation + 1)
-        self.report(self.own)
+        self.local = replace(self.local, incarnation=offered.incarnation + 1)
+        self.report(self.local)
         return True
 
     def leave(self) -> Member:
@@ -233,15 +233,15 @@
         Returns:
             The own description, for the peers.
         """
-        if self.own.state is not MemberState.LEAVING:
-            self.own = replace(
-                self.own,
-                incarnation=self.own.incarnation + 1,
+        if self.local.state is not MemberState.LEAVING:
+            self.local = replace(
+                self.local,
+                incarnation=self.local.incarnation + 1,
                 state=MemberState.LEAVING,
             )
             self.live_count -= 1
-            self.report(self.own)
-        return self.own
+            self.report(self.local)
+        return self.local
 
     def suspect(self, name: str) -> None:
         """Note that a member answers neither this proxy nor those asked."""
--- a/ebonyrack/peers/silence.py
+++ b/ebonyrack/peers/silence.py
@@ -37,7 +37,7 @@
         self.hub = hub
         self.checks: dict[str, asyncio.Task[None]] = {}
         self.lateness_s = 0.0
-        hub.handle(AskReach, self.receive_ask_reach)
+        hub.register_handler(AskReach, self.receive_ask_reach)
 
     def note_lateness(self, lateness_s: float) -> None:
         """Note how late this process serves its own timers."""
@@ -129,7 +129,7 @@
     async def ask_witness(self, peer: str, name: str) -> bool:
         """Return whether one peer reaches a member."""
         try:
-            reply = await self.hub.ask(peer, AskReach(name), self.find_patience(3))
+            reply = await self.hub.request(peer, AskReach(name), self.find_patience(3))
         except PeerLostError:
             return False
         return isinstance(reply, ReachReply) and reply.is_reachable
@@ -142,10 +142,10 @@
 
     async def probe(self, name: str) -> bool:
         """Return whether a member answers this proxy itself."""
-        if name == self.hub.membership.own.name:
+        if name == self.hub.membership.local.name:
             return True
         try:
-            await self.hub.ask(name, AskReach(name), self.find_patience(2))
+            await self.hub.request(name, AskReach(name), self.find_patience(2))
         except PeerLostError:
             return False
         return True
--- a/ebonyrack/service/operator_handler.py
+++ b/ebonyrack/service/operator_handler.py
@@ -32,9 +32,9 @@
 
     def __init__(self, proxy: Proxy) -> None:
         self.proxy = proxy
-        proxy.hub.handle(StatusRequest, self.answer_status)
-        proxy.hub.handle(DrainRequest, self.start_drain)
-        proxy.hub.handle(SwitchoverRequest, self.switch_over)
+        proxy.hub.register_handler(StatusRequest, self.answer_status)
+        proxy.hub.register_handler(DrainRequest, self.start_drain)
+        proxy.hub.register_handler(SwitchoverRequest, self.switch_over)
 
     async def answer_status(
         self, link: PeerLink, message: StatusRequest
@@ -76,8 +76,8 @@
         operators = self.proxy.configuration.document.operators
         if not operators:
             return ""
-        identification = self.proxy.edits.identification
-        if name not in operators or not identification.is_identified(link, name):
+        authentication = self.proxy.edits.authentication
+        if name not in operators or not authentication.is_authenticated(link, name):
             return f"operator {name!r} has not proved an identity that the document has"
         acts_for = operators[name].acts_for
         if owner in acts_for or ADMINISTRATORS in acts_for:
--- a/ebonyrack/service/proxy.py
+++ b/ebonyrack/service/proxy.py
@@ -70,7 +70,7 @@
         self.listener = CallerListener(self.services)
         self.opinions = OpinionDesk(self.hub, self.services.groups)
         self.operators = OperatorHandler(self)
-        self.hub.handle(CancelSession, self.receive_cancel)
+        self.hub.register_handler(CancelSession, self.receive_cancel)
         self.edits = EditHandler(self.configuration, self.store, self.hub)
         self.stack = AsyncExitStack()
         self.term_task: asyncio.Task[None] | None = None
