--- a/ebonyrack/placing/__init__.py
+++ b/ebonyrack/placing/__init__.py
@@ -1,1 +1,1 @@
-"""Decisions on placing, waiting, shares and succession, without input or output."""
+"""Decisions on placement, waiting, connection shares and promotion, without I/O."""
--- a/ebonyrack/placing/decisions_test.py
+++ b/ebonyrack/placing/decisions_test.py
@@ -1,4 +1,4 @@
-"""Each decision on placing, waiting and succession, at the load that it answers."""
+"""Decisions on placement, waiting, connection shares and promotion."""
 
 import pytest
 from hypothesis import given
@@ -48,60 +48,60 @@
 
 
 @given(SAMPLES, st.floats(0, 5))
-def test_a_position_is_never_of_a_question_older_than_asked_for(samples, time_s):
-    coverage = PositionHistory()
+def test_found_position_is_from_a_sample_that_is_recent_enough(samples, time_s):
+    history = PositionHistory()
     for sample in samples:
-        coverage.add(sample)
-    position = coverage.find_position(time_s)
-    young = [s.position for s in coverage.samples if s.sent_at_s >= time_s]
+        history.add(sample)
+    position = history.find_position(time_s)
+    young = [s.position for s in history.samples if s.sent_at_s >= time_s]
     assert position in young if young else position is None
 
 
-def test_the_oldest_position_that_is_young_enough_is_taken():
-    coverage = PositionHistory()
+def test_oldest_sample_that_is_recent_enough_is_found():
+    history = PositionHistory()
     for number in range(10):
-        coverage.add(PositionSample(float(number), LogPosition(1, number)))
-    assert coverage.find_position(4.5) == LogPosition(1, 5)
-    assert coverage.measure_age(9.5) == 0.5
+        history.add(PositionSample(float(number), LogPosition(1, number)))
+    assert history.find_position(4.5) == LogPosition(1, 5)
+    assert history.measure_age(9.5) == 0.5
 
 
-def test_a_near_replica_is_read_until_its_queue_costs_more_than_the_way():
+def test_near_replica_is_preferred_until_its_wait_exceeds_the_remote_cost():
     near, far = build_candidate("near"), build_candidate("far", is_near=False)
     assert order_candidates([far, near]) == ["near", "far"]
-    crowded = build_candidate("near", expected_wait_s=0.2)
-    assert order_candidates([far, crowded]) == ["far", "near"]
+    overloaded = build_candidate("near", expected_wait_s=0.2)
+    assert order_candidates([far, overloaded]) == ["far", "near"]
 
 
-def test_one_that_lacks_the_position_is_tried_last():
+def test_deprioritized_upstream_is_tried_last():
     lagging = build_candidate("near", is_deprioritized=True)
     far = build_candidate("far", is_near=False, is_primary=True)
     assert order_candidates([lagging, far]) == ["far", "near"]
 
 
-def test_one_that_does_not_answer_is_not_tried_however_long_the_others_queue():
-    # A primary has crashed; one replica lacks the position, the other has a queue.
+def test_unreachable_upstream_is_not_tried_whatever_the_wait_at_others():
+    # The primary has crashed; one replica lacks the position, the other has a queue.
     lagging = build_candidate("near", is_deprioritized=True)
-    crowded = build_candidate("far", expected_wait_s=2.0)
+    overloaded = build_candidate("far", expected_wait_s=2.0)
     dead = build_candidate("dead", is_primary=True, is_reachable=False)
-    assert order_candidates([dead, lagging, crowded]) == ["near", "far"]
+    assert order_candidates([dead, lagging, overloaded]) == ["near", "far"]
     assert order_candidates([dead]) == []
 
 
-def test_a_full_queue_is_not_taken_for_a_crash():
-    # 24 statements wait for 3 slots; each reply takes 0.1 to 0.4 s, at times 0.5 s.
-    crowded, usual = ReplyTime(), ReplyTime()
+def test_silence_limit_grows_with_reply_times_of_an_overloaded_upstream():
+    # 24 statements wait for 3 slots: a reply usually takes 0.1 to 0.4 s, at times 0.5.
+    overloaded, usual = ReplyTime(), ReplyTime()
     for number in range(100):
-        crowded.record((0.1, 0.4, 0.25)[number % 3], number / 10)
+        overloaded.record((0.1, 0.4, 0.25)[number % 3], number / 10)
         usual.record(0.03, number / 10)
-    assert crowded.compute_silence_limit(10.0) > 0.5
+    assert overloaded.compute_silence_limit(10.0) > 0.5
     assert usual.compute_silence_limit(10.0) == MINIMUM_SILENCE_LIMIT_S
     for _ in range(100):
-        crowded.record(5.0, 10.0)
-    assert crowded.compute_silence_limit(10.0) == MAXIMUM_SILENCE_LIMIT_S
+        overloaded.record(5.0, 10.0)
+    assert overloaded.compute_silence_limit(10.0) == MAXIMUM_SILENCE_LIMIT_S
 
 
-def test_an_upstream_that_was_slow_is_tried_again_after_some_seconds():
-    # A server hangs for six seconds; nobody reads there until it may be fast again.
+def test_slow_upstream_is_preferred_again_once_its_reply_times_decay():
+    # The upstream hangs for six seconds and gets no reads until its averages decay.
     slow = ReplyTime()
     for number in range(20):
         slow.record(1.2, number / 10)
@@ -113,54 +113,54 @@
     assert slow.compute_silence_limit(10.0) == MINIMUM_SILENCE_LIMIT_S
 
 
-def test_a_report_of_leading_counts_once_and_proof_goes_first():
-    primary_tracker = PrimaryTracker()
-    primary_tracker.report("a", True, 1)
-    assert primary_tracker.primary_id == "a"
-    primary_tracker.confirm("a", 3)
-    primary_tracker.report("a", True, 5)
-    primary_tracker.deny("a")
-    assert primary_tracker.primary_id is None
-    primary_tracker.report("a", True, 6)
-    assert primary_tracker.primary_id is None
-    primary_tracker.report("b", True, 7)
-    assert primary_tracker.primary_id == "b"
-    primary_tracker.confirm("a", 2)
-    assert primary_tracker.primary_id == "b"
-
-
-def test_an_upstream_that_leads_again_is_believed_again():
-    primary_tracker = PrimaryTracker()
-    primary_tracker.report("a", True, 1)
-    primary_tracker.deny("a")
-    primary_tracker.report("a", False, 2)
-    primary_tracker.report("a", True, 3)
-    assert primary_tracker.primary_id == "a"
-
-
-def test_writers_wait_for_a_promotion_only_if_their_time_allows_it():
+def test_repeated_primary_report_does_not_override_a_denial():
+    tracker = PrimaryTracker()
+    tracker.report("a", True, 1)
+    assert tracker.primary_id == "a"
+    tracker.confirm("a", 3)
+    tracker.report("a", True, 5)
+    tracker.deny("a")
+    assert tracker.primary_id is None
+    tracker.report("a", True, 6)
+    assert tracker.primary_id is None
+    tracker.report("b", True, 7)
+    assert tracker.primary_id == "b"
+    tracker.confirm("a", 2)
+    assert tracker.primary_id == "b"
+
+
+def test_primary_report_counts_again_after_a_replica_report():
+    tracker = PrimaryTracker()
+    tracker.report("a", True, 1)
+    tracker.deny("a")
+    tracker.report("a", False, 2)
+    tracker.report("a", True, 3)
+    assert tracker.primary_id == "a"
+
+
+def test_request_waits_for_promotion_only_if_its_deadline_allows_it():
     assert decide_wait(EXPECTED_OUTAGE_S - 0.3, 0.8, EXPECTED_OUTAGE_S).waits
-    refused = decide_wait(0.1, 0.8, EXPECTED_OUTAGE_S)
-    assert not refused.waits
-    assert refused.retry_after_s >= EXPECTED_OUTAGE_S - 0.1
+    rejected = decide_wait(0.1, 0.8, EXPECTED_OUTAGE_S)
+    assert not rejected.waits
+    assert rejected.retry_after_s >= EXPECTED_OUTAGE_S - 0.1
     assert decide_wait(0.0, 0.8, EXPECTED_DISCOVERY_S).waits
 
 
-def test_a_gap_that_outlasts_what_is_usual_holds_nobody_up():
-    # Nothing can be promoted for 6 s: a primary crashed while the replica that holds
-    # the newest commits is down too. Callers have a second for a statement.
+def test_request_does_not_wait_in_an_unusually_long_outage():
+    # No promotion is possible for 6 s: the primary crashed while the replica that holds
+    # the newest commits is down too. Statements time out after a second.
     for lost_for_s in (2.0, 3.0, 6.0):
-        refused = decide_wait(lost_for_s, 1.0, EXPECTED_OUTAGE_S)
-        assert not refused.waits
-        assert refused.retry_after_s >= lost_for_s / 2
+        rejected = decide_wait(lost_for_s, 1.0, EXPECTED_OUTAGE_S)
+        assert not rejected.waits
+        assert rejected.retry_after_s >= lost_for_s / 2
 
 
 @pytest.mark.parametrize(
-    ("view", "health"),
+    ("observation", "health"),
     [
         (PrimaryObservation(True), PrimaryHealth.SERVING),
         (PrimaryObservation(True, silent_for_s=0.9), PrimaryHealth.SILENT),
-        # A burst: replies of a primary with a full queue take up to a second.
+        # Replies of a primary with a full queue take up to a second.
         (
             PrimaryObservation(True, silent_for_s=0.9, silence_limit_s=1.1),
             PrimaryHealth.SERVING,
@@ -181,11 +181,11 @@
         ),
     ],
 )
-def test_verdicts_on_a_primary(view, health):
-    assert assess_primary(view) is health
+def test_primary_health_follows_the_observation(observation, health):
+    assert assess_primary(observation) is health
 
 
-def test_the_shares_of_all_proxies_fit_the_upstreams_limit():
+def test_connection_shares_of_all_proxies_fit_the_upstream_limit():
     for maximum in (5, 22, 43, 60, 192):
         for proxies in range(1, 40):
             share = compute_share(maximum, proxies)
@@ -204,7 +204,7 @@
 
 
 @given(REPLICAS, st.booleans())
-def test_a_safe_successor_holds_what_every_other_may_have_counted_with(
+def test_safe_candidate_holds_all_that_any_paused_replica_received(
     replicas, primary_serves
 ):
     candidate = choose_candidate(replicas, primary_serves)
@@ -217,22 +217,22 @@
         assert other.is_paused or other.member_id == candidate
 
 
-def test_a_lost_primary_is_followed_by_the_longest_log_even_if_it_leaves():
+def test_longest_log_is_promoted_after_a_loss_even_if_it_is_leaving():
     staying = ReplicaState("a", LogPosition(1, 4), True, False)
     leaving = ReplicaState("b", LogPosition(1, 5), True, True)
     assert choose_candidate([staying, leaving], primary_serves=False) == "b"
     assert choose_candidate([staying, leaving], primary_serves=True) == "a"
 
 
-def test_replicas_have_room_for_all_that_come_back_after_a_loss_of_power():
-    # 29 proxies in 4 data centres, 43 connections; those of before linger.
+def test_all_proxies_can_connect_after_losing_power_at_once():
+    # 29 proxies in 4 data centres, 43 connections, and old connections still open.
     share = compute_share(43, 29)
     near, far = 8, 21
-    kept = near * compute_idle_limit(share, True, False)
-    kept += far * compute_idle_limit(share, False, False)
-    assert kept + 29 * share <= 43
+    idle = near * compute_idle_limit(share, True, False)
+    idle += far * compute_idle_limit(share, False, False)
+    assert idle + 29 * share <= 43
     assert compute_idle_limit(share, False, True) == share
     assert is_short_of_connections(3.0, 43, 29)
     assert not is_short_of_connections(4.0, 43, 29)
-    # 5 proxies hold 3 of 22 each; what is left is enough for one more each.
+    # 5 proxies hold 3 of 22 each; the rest is enough for one more each.
     assert not is_short_of_connections(3.0, 22, 5)
--- a/ebonyrack/placing/position_history.py
+++ b/ebonyrack/placing/position_history.py
@@ -1,4 +1,4 @@
-"""Positions that cover all commits acknowledged before a known time."""
+"""Log positions that cover all commits acknowledged before a given time."""
 
 from __future__ import annotations
 
@@ -7,19 +7,19 @@
 
 from ebonyrack.core.position import LogPosition
 
-# The stalest reads that routes allow are some seconds old.
+# Routes allow reads that are a few seconds stale at most.
 HISTORY_S = 10.0
 
 
 @dataclass(frozen=True, slots=True)
 class PositionSample:
-    """A position with the time at which it was asked for.
+    """A log position and the time at which the probe for it was sent.
 
-    It was named by an upstream that provably led when it answered, so each commit
-    that was acknowledged before `sent_at_s` is at or before `position`.
+    The upstream was proven to be the primary when it replied, so every commit
+    acknowledged before `sent_at_s` is at or before `position`.
 
     Attributes:
-        sent_at_s: Time of sending of the question, on the boot clock.
+        sent_at_s: Time at which the probe was sent, on the boot clock.
         position: Position of the primary's log.
     """
 
@@ -28,10 +28,10 @@
 
 
 class PositionHistory:
-    """Samples of a group's primary, the oldest first.
+    """Recent position samples of a group's primary, the oldest first.
 
     Attributes:
-        samples: The samples that are kept.
+        samples: The retained samples.
     """
 
     __slots__ = ("samples",)
@@ -40,7 +40,7 @@
         self.samples: deque[PositionSample] = deque()
 
     def add(self, sample: PositionSample) -> None:
-        """Keep a sample; questions that overlapped may come in any order."""
+        """Add a sample, ignoring one whose probe was overtaken by a later one."""
         samples = self.samples
         if samples and sample.sent_at_s < samples[-1].sent_at_s:
             return
@@ -49,19 +49,19 @@
             samples.popleft()
 
     def clear(self) -> None:
-        """Forget the samples of an earlier primary."""
+        """Drop the samples of an earlier primary."""
         self.samples.clear()
 
     def find_position(self, time_s: float) -> LogPosition | None:
         """Return a position that covers all commits acknowledged before a time.
 
-        The oldest sample that does so is taken, as more replicas have reached it.
+        The oldest such sample is used, as more replicas have reached its position.
 
         Args:
             time_s: The time, on the boot clock.
 
         Returns:
-            The position, or None if no sample is young enough.
+            The position, or None if no sample is recent enough.
         """
         for sample in self.samples:
             if sample.sent_at_s >= time_s:
@@ -69,5 +69,5 @@
         return None
 
     def measure_age(self, now_s: float) -> float:
-        """Return the age of the newest sample, in seconds."""
+        """Return the age of the newest sample in seconds, infinite without one."""
         return now_s - self.samples[-1].sent_at_s if self.samples else float("inf")
--- a/ebonyrack/placing/primary_health.py
+++ b/ebonyrack/placing/primary_health.py
@@ -1,25 +1,25 @@
-"""Whether a group's primary is lost, from what one proxy sees of it."""
+"""Assesses the health of a group's primary from the observations of one proxy."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 from enum import StrEnum
 
-# Upstreams answer within some milliseconds, and under the worst load that is known
-# within half a second, while some answer still comes from time to time.
+# Upstreams reply within milliseconds, and within half a second under the worst known
+# load, during which some replies still arrive.
 SILENCE_LIMIT_S = 0.5
-# A process that is restarted takes longer than this to listen again.
+# A restarted process takes longer than this to listen again.
 REFUSAL_LIMIT_S = 0.2
 # Commits wait for one replica, which takes milliseconds.
 STALL_LIMIT_S = 0.7
-# A change of primary that others see takes this long to be heard of here.
+# A change of primary that others have seen is known here within this time.
 UNKNOWN_LIMIT_S = 0.6
-# An upstream whose entry has lapsed during an outage of the store is back by then.
+# An upstream whose entry expired during a store outage has registered again by then.
 MISSING_ENTRY_LIMIT_S = 2.5
 
 
 class PrimaryHealth(StrEnum):
-    """What is to be done about the primary."""
+    """Health state of a primary."""
 
     SERVING = "serving"
     SILENT = "silent"
@@ -30,23 +30,24 @@
 
     @property
     def needs_promotion(self) -> bool:
-        """Whether another upstream should lead."""
+        """Whether another upstream should be promoted."""
         return self is not PrimaryHealth.SERVING
 
 
 @dataclass(frozen=True, slots=True)
 class PrimaryObservation:
-    """What a proxy sees of the primary.
+    """What a proxy observes of the primary.
 
     Attributes:
-        is_known: Whether any upstream is taken for the primary.
-        unknown_for_s: Seconds since none is.
-        silent_for_s: Seconds for which it has not answered what was sent.
-        silence_limit_s: Seconds of silence that its reply times let expect.
+        is_known: Whether an upstream is presumed to be the primary.
+        unknown_for_s: Seconds without a known primary.
+        silent_for_s: Seconds for which it has left requests without a reply.
+        silence_limit_s: Seconds of silence that its reply times explain.
         refused_for_s: Seconds for which it has refused connections.
-        stalled_for_s: Seconds for which commits wait without any being done.
-        is_leaving: Whether it will end soon.
-        missing_for_s: Seconds since its entry is missing although the store answers.
+        stalled_for_s: Seconds for which commits have waited without any completing.
+        is_leaving: Whether it will shut down soon.
+        missing_for_s: Seconds for which its entry has been missing while the store
+            replies.
     """
 
     is_known: bool
@@ -59,17 +60,17 @@
     missing_for_s: float = 0.0
 
 
-def assess_primary(view: PrimaryObservation) -> PrimaryHealth:
-    """Return what is to be done about the primary."""
-    if not view.is_known:
-        lost = view.unknown_for_s > UNKNOWN_LIMIT_S
+def assess_primary(observation: PrimaryObservation) -> PrimaryHealth:
+    """Return the health state of the primary."""
+    if not observation.is_known:
+        lost = observation.unknown_for_s > UNKNOWN_LIMIT_S
         return PrimaryHealth.UNKNOWN if lost else PrimaryHealth.SERVING
-    if view.refused_for_s > REFUSAL_LIMIT_S:
+    if observation.refused_for_s > REFUSAL_LIMIT_S:
         return PrimaryHealth.REFUSING
-    if view.silent_for_s > max(SILENCE_LIMIT_S, view.silence_limit_s):
+    if observation.silent_for_s > max(SILENCE_LIMIT_S, observation.silence_limit_s):
         return PrimaryHealth.SILENT
-    if view.stalled_for_s > STALL_LIMIT_S:
+    if observation.stalled_for_s > STALL_LIMIT_S:
         return PrimaryHealth.STALLED
-    if view.is_leaving or view.missing_for_s > MISSING_ENTRY_LIMIT_S:
+    if observation.is_leaving or observation.missing_for_s > MISSING_ENTRY_LIMIT_S:
         return PrimaryHealth.LEAVING
     return PrimaryHealth.SERVING
--- a/ebonyrack/placing/primary_outage.py
+++ b/ebonyrack/placing/primary_outage.py
@@ -1,8 +1,8 @@
-"""Whether a request waits for a primary or is refused at once.
+"""Decides whether a request waits for a primary or is rejected at once.
 
-Load answered: every writer of a group at the moment when its primary is lost. Those
-whose time allows it wait for the promotion, and the rest hear at once when to come
-back, spread over the time after which writes are served again.
+The loss of a primary affects all writers of a group at the same moment. Requests
+whose deadline allows it wait for the promotion. The others are rejected at once with
+a retry-after that spreads them over the time after which writes are served again.
 """
 
 from __future__ import annotations
@@ -10,31 +10,31 @@
 import random
 from dataclasses import dataclass
 
-# From the finding that a primary is lost until writes are served again, before any
-# change was seen: pausing the replicas and the promotion itself, which takes the
+# Initial estimate of the time from detecting the loss of a primary until writes are
+# served again: pausing the replicas plus the promotion itself, which takes the
 # platform up to a second.
 EXPECTED_OUTAGE_S = 1.2
-# Weight of the newest gap that was seen.
+# Weight of the newest outage in the moving average.
 OUTAGE_SMOOTHING = 0.5
-# A primary that refuses as a replica has a successor, which answers a question.
+# A primary that rejects a request as a replica has a successor, which a probe finds.
 EXPECTED_DISCOVERY_S = 0.3
-# A request is held only if this much of its time is left once the primary is back.
+# A request waits only if this much of its time remains once the primary is back.
 SERVICE_ALLOWANCE_S = 0.1
-# A gap may end any moment, but a request needs this long to be served after it.
+# An outage may end any moment, but a request needs this long to be served after it.
 MINIMUM_REMAINING_S = 0.1
-# What is left of a gap that has outlasted what is usual, as a share of its length.
+# Expected remainder of an outage that is longer than usual, as a share of its length.
 REMAINING_SHARE = 0.5
-# Refused callers come back spread over this time after the expected end of the gap.
+# Rejected callers retry spread over this time after the expected end of the outage.
 RETRY_SPREAD_S = 0.3
 
 
 @dataclass(frozen=True, slots=True)
 class OutageDecision:
-    """What becomes of a request that needs a primary.
+    """Whether a request waits for a primary.
 
     Attributes:
         waits: Whether it waits.
-        retry_after_s: Seconds after which a refused caller should come back.
+        retry_after_s: Seconds after which a rejected caller should retry.
     """
 
     waits: bool
@@ -42,10 +42,10 @@
 
 
 class OutageEstimate:
-    """How long a group is without a primary once the loss was found.
+    """Estimates how long a group is without a primary after the loss is detected.
 
     Attributes:
-        expected_s: Moving average of the gaps that were seen, in seconds.
+        expected_s: Moving average of the observed outages, in seconds.
     """
 
     __slots__ = ("expected_s",)
@@ -53,20 +53,20 @@
     def __init__(self) -> None:
         self.expected_s = EXPECTED_OUTAGE_S
 
-    def record_outage(self, gap_s: float) -> None:
-        """Take a gap that has ended into the average."""
-        self.expected_s += OUTAGE_SMOOTHING * (gap_s - self.expected_s)
+    def record_outage(self, outage_s: float) -> None:
+        """Update the moving average with a finished outage."""
+        self.expected_s += OUTAGE_SMOOTHING * (outage_s - self.expected_s)
 
 
 def estimate_remaining_outage(lost_for_s: float, expected_outage_s: float) -> float:
-    """Return how much longer a gap should last, in seconds.
+    """Return how much longer an outage is expected to last, in seconds.
 
-    One that has outlasted what is usual is of another kind, such as a replica that
-    must answer first: the longer it has lasted, the longer it goes on.
+    An outage that is longer than usual has another cause, such as a replica that must
+    reply first: the longer it has lasted, the longer it is expected to continue.
 
     Args:
-        lost_for_s: Seconds since the loss was found.
-        expected_outage_s: Seconds that such a gap usually lasts.
+        lost_for_s: Seconds since the loss was detected.
+        expected_outage_s: Seconds that such an outage usually lasts.
     """
     if lost_for_s < expected_outage_s:
         return max(MINIMUM_REMAINING_S, expected_outage_s - lost_for_s)
@@ -76,12 +76,12 @@
 def decide_wait(
     lost_for_s: float, remaining_s: float, expected_outage_s: float
 ) -> OutageDecision:
-    """Decide on a request that needs a primary while there is none.
+    """Decide whether a request that needs a primary waits for one.
 
     Args:
-        lost_for_s: Seconds since the loss was found.
+        lost_for_s: Seconds since the loss was detected.
         remaining_s: Seconds until the request's deadline.
-        expected_outage_s: Seconds that such a gap usually lasts.
+        expected_outage_s: Seconds that such an outage usually lasts.
 
     Returns:
         The decision.
--- a/ebonyrack/placing/primary_tracker.py
+++ b/ebonyrack/placing/primary_tracker.py
@@ -1,21 +1,21 @@
-"""Which upstream of a group is taken for the primary."""
+"""Determines which upstream of a group is the primary."""
 
 from __future__ import annotations
 
 
 class PrimaryTracker:
-    """Weighs what upstreams report against what their answers prove.
+    """Combines the roles that upstreams report with what their replies prove.
 
-    A report of leading counts from the change of an upstream's own view; later
-    heartbeats that repeat it prove nothing new. An answer to a write or to a plain
-    transaction does prove it.
+    A reported primary role counts once, when the upstream's own view changes; later
+    heartbeats that repeat it are no new evidence. A reply to a write or to a
+    read-write transaction proves the role.
 
     Attributes:
-        claims: Upstreams that report to lead, with the store's revision of the
-            report that first said so.
-        denied: Upstreams that have refused as replicas since their claim.
-        confirmed: Upstream whose answers have proved that it leads, or None.
-        confirmed_term: Term in which it did.
+        claims: Upstreams that report to be the primary, with the store revision of
+            the first such report.
+        denied: Upstreams that have rejected a request as replicas since their claim.
+        confirmed: Upstream whose replies have proven it to be the primary, or None.
+        confirmed_term: Term of that proof.
     """
 
     __slots__ = ("claims", "denied", "confirmed", "confirmed_term")
@@ -28,7 +28,7 @@
 
     @property
     def primary_id(self) -> str | None:
-        """Identity of the upstream that is taken for the primary, or None."""
+        """Identity of the presumed primary, or None."""
         if self.confirmed is not None:
             return self.confirmed
         claims = {
@@ -39,12 +39,12 @@
         return max(claims, key=claims.__getitem__) if claims else None
 
     def report(self, member_id: str, is_primary: bool, revision: int) -> None:
-        """Take what an upstream reports of itself.
+        """Record the role that an upstream reports.
 
         Args:
             member_id: The upstream.
             is_primary: Whether it sees itself as the primary.
-            revision: Revision of the store at which it said so.
+            revision: Store revision of the report.
         """
         if not is_primary:
             self.claims.pop(member_id, None)
@@ -57,11 +57,12 @@
             self.confirmed = None
 
     def confirm(self, member_id: str, term: int) -> None:
-        """Take an answer that only the primary gives.
+        """Record a reply that only a primary gives.
 
         Args:
-            member_id: The upstream that gave it.
-            term: Term of its log then; an older one than known proves nothing of now.
+            member_id: The upstream that replied.
+            term: Term of its log; a reply from an older term than the confirmed one
+                is outdated and ignored.
         """
         if term < self.confirmed_term:
             return
@@ -70,13 +71,13 @@
         self.denied.discard(member_id)
 
     def deny(self, member_id: str) -> None:
-        """Take a refusal that only a replica gives."""
+        """Record a rejection that only a replica gives."""
         self.denied.add(member_id)
         if self.confirmed == member_id:
             self.confirmed = None
 
     def forget(self, member_id: str) -> None:
-        """Drop an upstream that is gone."""
+        """Remove an upstream that has left the group."""
         self.claims.pop(member_id, None)
         self.denied.discard(member_id)
         if self.confirmed == member_id:
--- a/ebonyrack/placing/promotion_candidate.py
+++ b/ebonyrack/placing/promotion_candidate.py
@@ -1,8 +1,8 @@
-"""Which upstream of a group may lead next without losing an acknowledged commit.
+"""Chooses an upstream to promote without losing an acknowledged commit.
 
-A commit is acknowledged once one replica has received it. The successor must hold
-what every upstream that may have counted holds, so those others are paused first:
-what they had received then is all they will ever have counted with.
+A commit is acknowledged once one replica has received it. The promotion candidate must
+hold all that any other replica has received, as each may have acknowledged commits. The
+others are paused first, so that they can't acknowledge any further commits.
 """
 
 from __future__ import annotations
@@ -14,14 +14,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ReplicaState:
-    """What is known of one upstream that is not the lost primary.
+    """State of an upstream other than the current or lost primary.
 
     Attributes:
         member_id: Identity.
-        received: Position up to which it has received the log; None if it does not
-            answer.
-        is_paused: Whether it receives nothing any more in the terms so far.
-        is_leaving: Whether it will end soon.
+        received: Position up to which it has received the log; None if it doesn't
+            reply.
+        is_paused: Whether it receives nothing more in the terms so far.
+        is_leaving: Whether it will shut down soon.
     """
 
     member_id: str
@@ -31,22 +31,22 @@
 
 
 def choose_candidate(replicas: list[ReplicaState], primary_serves: bool) -> str | None:
-    """Return the upstream that should lead next, or None.
+    """Return the upstream that should be promoted, or None.
 
-    While the primary serves, one that stays can still catch up with the others; once
-    it is lost, only the most complete log has all that was acknowledged.
+    While the primary serves, a replica that stays can still catch up with the others;
+    once it is lost, only the most complete log holds all acknowledged commits.
 
     Args:
-        replicas: The upstreams besides the present or lost primary.
+        replicas: The upstreams other than the current or lost primary.
         primary_serves: Whether the replicas still receive commits.
     """
-    answering = [each for each in replicas if each.received is not None]
+    replying = [each for each in replicas if each.received is not None]
     if primary_serves:
-        answering = [each for each in answering if not each.is_leaving] or answering
-    if not answering:
+        replying = [each for each in replying if not each.is_leaving] or replying
+    if not replying:
         return None
     best = max(
-        answering,
+        replying,
         key=lambda each: (each.received, not each.is_leaving, each.member_id),
     )
     return best.member_id
@@ -58,20 +58,24 @@
     """Return whether an upstream holds every commit that was acknowledged.
 
     Args:
-        candidate: The upstream that is to lead.
-        replicas: All upstreams that may have counted for a commit.
-        acknowledging_replicas: Replicas that receive a commit before it is
-            acknowledged.
+        candidate: The upstream to be promoted.
+        replicas: All upstreams that may have acknowledged a commit.
+        acknowledging_replicas: Number of replicas that must receive a commit before
+            it is acknowledged.
     """
     if acknowledging_replicas == 0:
         return True
     states = {each.member_id: each for each in replicas}
-    own = states[candidate].received
-    if own is None:
+    candidate_position = states[candidate].received
+    if candidate_position is None:
         return False
     for other in replicas:
         if other.member_id == candidate:
             continue
-        if other.received is None or not other.is_paused or other.received > own:
+        if (
+            other.received is None
+            or not other.is_paused
+            or other.received > candidate_position
+        ):
             return False
     return True
--- a/ebonyrack/placing/read_order.py
+++ b/ebonyrack/placing/read_order.py
@@ -1,21 +1,22 @@
-"""In which order the upstreams of a group are tried for a read.
+"""Orders the upstreams of a group for a read.
 
-Load answered: readers in every data centre beside one primary, with replicas that
-fall behind by turns. Bytes between data centres cost far more than some
-milliseconds, so a near upstream serves until its queue would cost the caller's
-target; then the next one is taken, the primary last of equals as only it can write.
+Every data centre has readers, there is one primary, and replicas fall behind in turn.
+Traffic between data centres costs far more than a few milliseconds, so an upstream in
+the same data centre serves until its queue would use up the caller's latency target;
+then the next one is tried. The primary comes last among equals, as only it can write.
 """
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-# What another data centre must be faster by before a read goes there, in seconds;
-# below the targets of routes, which are 150 ms and more.
+# Latency advantage in seconds that another data centre needs to be preferred; below
+# the targets of routes, which are 150 ms and more.
 REMOTE_COST_S = 0.12
-# What a read at the primary costs those who need it, in seconds.
+# Penalty in seconds for a read at the primary, which delays requests that need it.
 PRIMARY_COST_S = 0.01
-# Sorts behind all that serve: one that turned work away or lacks the position.
+# Penalty in seconds that orders an upstream that rejected work or lacks the position
+# behind all others.
 DEPRIORITIZED_COST_S = 1.0
 
 
@@ -25,13 +26,13 @@
 
     Attributes:
         member_id: Identity.
-        is_near: Whether it is in the proxy's own data centre.
+        is_near: Whether it is in the proxy's data centre.
         is_primary: Whether it is the primary.
-        is_reachable: Whether it may be expected to answer.
-        is_deprioritized: Whether it turned work away or lacked the position just now.
-        is_shed: Whether the read gives way to others there, as it is crowded.
-        latency_s: Its usual reply time, in seconds.
-        expected_wait_s: How long it would wait for a connection, in seconds.
+        is_reachable: Whether a reply can be expected from it.
+        is_deprioritized: Whether it rejected work or lacked the position just now.
+        is_shed: Whether the read is shed there because the upstream is overloaded.
+        latency_s: Its expected reply time, in seconds.
+        expected_wait_s: Expected wait for a connection to it, in seconds.
     """
 
     member_id: str
@@ -45,7 +46,7 @@
 
 
 def estimate_cost(candidate: ReadCandidate) -> float:
-    """Return what a read there costs, in seconds."""
+    """Return the cost of a read at an upstream, in seconds."""
     cost_s = candidate.latency_s + candidate.expected_wait_s
     if not candidate.is_near:
         cost_s += REMOTE_COST_S
@@ -57,11 +58,11 @@
 
 
 def order_candidates(candidates: list[ReadCandidate]) -> list[str]:
-    """Return the identities in the order in which they are tried.
+    """Return upstream identities in the order in which they are tried.
 
-    One that can't be reached is left out, also if it is the only one: a read that waits
-    for its answer would have had time to be served by another proxy. So is one that is
-    crowded, for reads that give way.
+    An unreachable upstream is left out even if it is the only one: a read that waits
+    for its reply would have had time to be served by another proxy. An overloaded
+    upstream is left out if the read is shed there.
     """
     usable = [each for each in candidates if each.is_reachable and not each.is_shed]
     ordered = sorted(usable, key=lambda each: (estimate_cost(each), each.member_id))
--- a/ebonyrack/placing/shedding.py
+++ b/ebonyrack/placing/shedding.py
@@ -1,10 +1,10 @@
-"""Which reads give way while the only upstream that could serve them is crowded.
+"""Decides which reads are shed while the only upstream for them is overloaded.
 
-Load answered: a primary has crashed, or replicas are far behind, and 29 proxies send
-all reads of a group to one upstream. Each statement waits there behind two dozen
-others, so that those with the strictest targets are late first, however high their
-priority is. The reads that matter least, and of equals those whose callers can wait
-longest, are refused at once instead, as many as keep the rest within its targets.
+After the crash of a primary, or while replicas are far behind, 29 proxies may send all
+reads of a group to one upstream. Each statement then queues behind two dozen others,
+so reads with the strictest latency targets are late first, whatever their priority.
+Instead, reads of the lowest priority, and among equals those with the longest targets,
+are rejected at once: as many as it takes to keep the others within their targets.
 """
 
 from __future__ import annotations
@@ -12,24 +12,24 @@
 import math
 from dataclasses import dataclass
 
-# Expected time to an answer at which the first reads give way, as a share of the
-# strictest target; what is left covers the way and what the estimate misses.
+# Expected answer time at which shedding starts, as a share of the strictest target; the
+# rest of it covers the network and the error of the estimate.
 SHEDDING_START_SHARE = 0.4
-# Between there and this much more, all reads of one class have given way.
+# Further share over which the shed part of one class rises from none to all.
 CLASS_STEP_SHARE = 0.3
-# Reads count for the demand as long as this, in seconds, weighted by their age; and
-# classes that have less than this share of it don't count.
+# Time constant in seconds with which counted reads decay, and the share of the demand
+# below which a class is ignored.
 DEMAND_DECAY_S = 5.0
 MINIMUM_DEMAND_SHARE = 0.05
 
 
 @dataclass(frozen=True, slots=True, order=True)
 class WorkClass:
-    """Reads that give way together.
+    """Reads of the same importance, which are shed together.
 
     Attributes:
         priority: 0 is served first.
-        target_s: Time in which they should be answered, in seconds.
+        target_s: Latency target, in seconds.
     """
 
     priority: int
@@ -37,11 +37,11 @@
 
 
 class ReadDemand:
-    """How often the classes of reads ask for a group.
+    """Counts the recent reads of a group by class.
 
     Attributes:
-        counts: Reads of each class, which fade exponentially.
-        decayed_at_s: Time up to which they have faded.
+        counts: Exponentially decaying count of reads by class.
+        decayed_at_s: Time up to which the counts have decayed.
     """
 
     __slots__ = ("counts", "decayed_at_s")
@@ -52,13 +52,13 @@
 
     def record(self, work_class: WorkClass, now: float) -> None:
         """Count a read of a class."""
-        faded = math.exp(min(0.0, self.decayed_at_s - now) / DEMAND_DECAY_S)
+        decay = math.exp(min(0.0, self.decayed_at_s - now) / DEMAND_DECAY_S)
         self.decayed_at_s = now
-        self.counts = {each: count * faded for each, count in self.counts.items()}
+        self.counts = {each: count * decay for each, count in self.counts.items()}
         self.counts[work_class] = self.counts.get(work_class, 0.0) + 1.0
 
     def list_active(self) -> list[WorkClass]:
-        """Return the classes that are in use, the most important one first."""
+        """Return the classes in use, the most important one first."""
         least = MINIMUM_DEMAND_SHARE * sum(self.counts.values())
         return sorted(each for each, count in self.counts.items() if count >= least)
 
@@ -66,13 +66,12 @@
 def compute_shed_share(
     work_class: WorkClass, active: list[WorkClass], answer_s: float
 ) -> float:
-    """Return the share of a class's reads that give way, 0 to 1.
+    """Return the share of a class's reads that is shed, 0 to 1.
 
     Args:
         work_class: The class.
         active: The classes in use, the most important one first.
-        answer_s: How long a read waits for a connection and then for the reply, as
-            expected now, in seconds.
+        answer_s: Expected wait for a connection and the reply, in seconds.
     """
     if work_class not in active[1:]:
         return 0.0
--- a/ebonyrack/placing/shedding_test.py
+++ b/ebonyrack/placing/shedding_test.py
@@ -1,4 +1,4 @@
-"""Shedding, at the load that it answers: 29 proxies before one upstream of a group."""
+"""Load shedding of 29 proxies that send all reads of a group to one upstream."""
 
 import heapq
 import random
@@ -18,28 +18,28 @@
 WORK_S = {RESERVE: 0.006, CONFIRM: 0.018, VIEW: 0.030}
 SLOTS = 3
 PROXIES = 29
-DAY_S = 10.0
+DURATION_S = 10.0
 WARM_UP_S = 2.0
 
 
 @dataclass(slots=True)
 class Proxy:
-    """One connection to the upstream, with the reads that wait for it."""
+    """A proxy's connection to the upstream and the replies due on it."""
 
     free_at_s: float
     reply_time: ReplyTime
     replies: list
 
 
-def replay(rate_per_s, sheds, seed=1):
-    """Play arrivals through one connection a proxy; return the shares in time."""
+def simulate(rate_per_s, sheds, seed=1):
+    """Simulate arrivals, one connection a proxy; return the share in time by class."""
     random_ = random.Random(seed)
     proxies = [Proxy(0.0, ReplyTime(), []) for _ in range(PROXIES)]
     slots = [0.0] * SLOTS
     demand = ReadDemand()
-    asked, in_time = Counter(), Counter()
+    arrived, in_time = Counter(), Counter()
     now = 0.0
-    while now < DAY_S:
+    while now < DURATION_S:
         now += random_.expovariate(rate_per_s)
         work_class = random_.choices(CLASSES, SHARES)[0]
         proxy = random_.choice(proxies)
@@ -47,7 +47,7 @@
             proxy.reply_time.record(heapq.heappop(proxy.replies)[1], now)
         demand.record(work_class, now)
         is_counted = now > WARM_UP_S
-        asked[work_class] += is_counted
+        arrived[work_class] += is_counted
         if sheds:
             active = demand.list_active()
             answer_s = max(0.0, proxy.free_at_s - now) + proxy.reply_time.estimate(now)
@@ -64,12 +64,12 @@
         proxy.free_at_s = done_s
         heapq.heappush(proxy.replies, (done_s, done_s - sent_s))
         in_time[work_class] += is_counted and done_s - now <= work_class.target_s
-    return {each: in_time[each] / asked[each] for each in CLASSES}
+    return {each: in_time[each] / arrived[each] for each in CLASSES}
 
 
-def test_important_reads_stay_in_time_while_one_upstream_has_all_of_a_group():
+def test_shedding_keeps_important_reads_in_time_on_an_overloaded_upstream():
     # 240 reads a second need 4.4 slots; there are 3.
-    before, after = replay(240, sheds=False), replay(240, sheds=True)
+    before, after = simulate(240, sheds=False), simulate(240, sheds=True)
     assert after[RESERVE] > 0.9
     assert after[RESERVE] > before[RESERVE]
     assert after[CONFIRM] > before[CONFIRM]
@@ -79,17 +79,17 @@
     assert served_after > 2 * served_before
 
 
-def test_hardly_anybody_gives_way_at_an_upstream_that_keeps_up():
+def test_few_reads_are_shed_on_an_upstream_that_keeps_up():
     # 120 reads a second need 2.2 slots of 3.
-    assert min(replay(120, sheds=True).values()) > 0.95
+    assert min(simulate(120, sheds=True).values()) > 0.95
 
 
-def test_the_most_important_class_never_gives_way():
+def test_most_important_class_is_never_shed():
     assert compute_shed_share(RESERVE, CLASSES, 10.0) == 0.0
     assert compute_shed_share(CONFIRM, [CONFIRM], 10.0) == 0.0
 
 
-def test_classes_give_way_one_after_the_other_as_the_crowd_grows():
+def test_classes_are_shed_one_after_the_other_as_answer_time_grows():
     shares = [
         (
             compute_shed_share(VIEW, CLASSES, ms / 1000),
@@ -102,7 +102,7 @@
     assert all(view == 1.0 for view, confirm in shares if confirm > 0)
 
 
-def test_routes_that_nobody_uses_don_t_count():
+def test_classes_without_recent_reads_are_not_active():
     demand = ReadDemand()
     for number in range(50):
         demand.record(VIEW if number % 2 else CONFIRM, number / 10)
