--- a/ebonyrack/promotion/__init__.py
+++ b/ebonyrack/promotion/__init__.py
@@ -1,1 +1,1 @@
-"""Changes of primary: who may order one, whom to promote, and the order itself."""
+"""Promotion of a group's new primary: its lease, participants and order."""
--- a/ebonyrack/promotion/lease.py
+++ b/ebonyrack/promotion/lease.py
@@ -1,8 +1,8 @@
-"""The duty to change a group's primary: one holder at a time, by a key with a lease.
+"""The promotion lease, with which one proxy at a time may change a group's primary.
 
-The duty is taken when a primary is lost and given back after the change. The
-revision of the store at which the key was written is the fencing token: it grows
-with each holder, and also with each turn of the same one.
+The lease is acquired when a primary is lost and released after the change. It is a key
+in the store. The store revision at which the key was written is the fencing token: it
+grows with each acquisition, also by the same holder.
 """
 
 from __future__ import annotations
@@ -18,20 +18,20 @@
 from ebonyrack.store.leasing_store import StoreWrite
 
 PREFIX = "ebonyrack/promotion/"
-# The time of one change of primary; a holder that died keeps others out as long.
+# Time for one change of primary; a holder that crashed blocks others for as long.
 LEASE_TTL_S = 4.0
-# The holder acts only this long, counted from before it asked for the lease, so that
-# it has surely stopped when the lease ends.
+# The holder acts only this long, counted from before its request for the lease, so that
+# it has certainly stopped when the lease expires.
 HOLD_LIMIT_S = 3.2
 
 
 @dataclass(frozen=True, slots=True)
 class PromotionLease:
-    """The duty while it is held.
+    """A group's promotion lease while it is held.
 
     Attributes:
         group: The database group.
-        fencing_token: Number that grows with each turn.
+        fencing_token: Number that grows with each acquisition.
         deadline_s: Time after which the holder must not act, on the boot clock.
     """
 
@@ -48,7 +48,7 @@
 async def acquire_promotion_lease(
     store: LeasingStore, group: str, holder: str
 ) -> PromotionLease | None:
-    """Take the duty for a group if nobody holds it.
+    """Acquire a group's promotion lease unless another proxy holds it.
 
     Args:
         store: The store.
@@ -56,17 +56,17 @@
         holder: Name of this proxy.
 
     Returns:
-        The duty, or None if another holds it or the store doesn't answer.
+        The lease, or None if another proxy holds it or the store doesn't reply.
     """
     started_s = boot_time_s()
-    lease = await store.grant_lease(LEASE_TTL_S)
-    if isinstance(lease, Err):
-        log_not_acquired(group, lease.err_value.reason)
+    store_lease = await store.grant_lease(LEASE_TTL_S)
+    if isinstance(store_lease, Err):
+        log_not_acquired(group, store_lease.err_value.reason)
         return None
-    # Each attempt writes another value, by which a lost answer is settled.
+    # A unique value for each attempt resolves the outcome if the reply is lost.
     value = f"{holder} {secrets.token_hex(8)}".encode()
     key = PREFIX + group
-    written = await store.write(StoreWrite(key, value, lease.ok_value, 0))
+    written = await store.write(StoreWrite(key, value, store_lease.ok_value, 0))
     if isinstance(written, Err):
         found = await store.read_key(key)
         item = found.unwrap_or(None)
@@ -84,11 +84,11 @@
 
 
 async def release_promotion_lease(store: LeasingStore, lease: PromotionLease) -> None:
-    """Give the duty back, so that others need not wait for its lease to end.
+    """Release the lease, so that others need not wait until it expires.
 
     Args:
         store: The store.
-        lease: The duty.
+        lease: The lease.
     """
     deleted = await store.delete(PREFIX + lease.group, lease.fencing_token)
     outcome = deleted.unwrap_or(False)
@@ -98,5 +98,5 @@
 
 
 def log_not_acquired(group: str, reason: str) -> None:
-    """Log why the duty was not taken."""
+    """Log why the lease was not acquired."""
     logger.bind(group=group, reason=reason).info("duty_not_taken")
--- a/ebonyrack/promotion/order.py
+++ b/ebonyrack/promotion/order.py
@@ -1,4 +1,4 @@
-"""The order that makes an upstream the primary of its group."""
+"""The order to the platform to promote an upstream."""
 
 from __future__ import annotations
 
@@ -15,9 +15,9 @@
 
     Attributes:
         group: The database group.
-        member_id: The upstream that is to lead.
-        holder: Name of the proxy that orders.
-        fencing_token: Number that grows with each holder of the duty.
+        member_id: The upstream to be promoted.
+        holder: Name of the proxy that holds the promotion lease.
+        fencing_token: Number that grows with each acquisition of the lease.
     """
 
     group: str
@@ -27,10 +27,10 @@
 
 
 class OrderOutcome(StrEnum):
-    """What is known of an order.
+    """Known outcome of an order.
 
-    An unanswered one may be carried out later. A refused one names a token below
-    one that was seen, or an upstream that doesn't run.
+    An unanswered order may be carried out later. A refused one has a token below one
+    that the platform has seen, or names an upstream that doesn't run.
     """
 
     ACCEPTED = "accepted"
@@ -39,7 +39,7 @@
 
 
 class PromotionOrderClient(Protocol):
-    """Takes orders."""
+    """Sends orders to the platform."""
 
     async def promote(self, order: PromotionOrder) -> Result[OrderOutcome, str]:
-        """Order that an upstream becomes the primary."""
+        """Order a promotion; an error means that the order was not accepted."""
--- a/ebonyrack/promotion/participant.py
+++ b/ebonyrack/promotion/participant.py
@@ -1,4 +1,4 @@
-"""One upstream in a change of primary: its connection and what it said on it."""
+"""An upstream that takes part in a promotion: its connection and status."""
 
 from __future__ import annotations
 
@@ -23,30 +23,30 @@
 from ebonyrack.requests.request import Request
 from ebonyrack.requests.request import build_pause_request
 
-# One question to an upstream, a connection included.
+# Timeout of one request to an upstream, including connecting.
 REQUEST_TIMEOUT_S = 0.5
-# An idle connection of the pool is taken if one comes free in this time.
+# Time to wait for a connection of the pool before opening another one.
 POOL_WAIT_S = 0.03
 # Name under which a promotion waits for a connection.
 POOL_CALLER_NAME = "ebonyrack promotion"
-# An upstream whose slots are all taken is asked again after this.
+# Pause before retrying at an upstream whose slots are all in use.
 BUSY_PAUSE_S = 0.03
 
 
 @dataclass(slots=True)
 class PromotionParticipant:
-    """A connection for one change of primary, and what the upstream said on it.
+    """An upstream's connection during a promotion and the status received on it.
 
-    The connection stays open from the pause to the order: while it does, the
-    upstream has not started anew and lost the pause.
+    The connection stays open from the pause to the order: as long as it is open, the
+    upstream has not restarted and lost the pause.
 
     Attributes:
         member: The upstream.
         link: The connection; None if there is none.
-        status: What it said last, or None.
+        status: The last status received, or None.
         is_paused: Whether it was paused on this connection.
         paused_term: Term of that pause.
-        is_pooled: Whether the connection is the pool's.
+        is_pooled: Whether the connection belongs to the pool.
     """
 
     member: Member
@@ -57,14 +57,14 @@
     is_pooled: bool = False
 
     async def connect(self) -> None:
-        """Take a connection and ask for the status; failures leave both empty.
+        """Acquire a connection and request the status; both stay None on failure.
 
-        One of the pool is preferred, as the upstream may have none to spare.
+        A pooled connection is preferred, as the upstream may accept no others.
         """
         self.close()
-        give_up_s = now_s() + POOL_WAIT_S
+        deadline_s = now_s() + POOL_WAIT_S
         try:
-            self.link = await self.member.pool.acquire(POOL_CALLER_NAME, give_up_s)
+            self.link = await self.member.pool.acquire(POOL_CALLER_NAME, deadline_s)
             self.is_pooled = True
         except (RequestError, UpstreamLostError) as error:
             logger.bind(upstream=self.member.member_id, reason=str(error)).debug(
@@ -75,7 +75,7 @@
         await self.request_status(STATUS_REQUEST)
 
     async def connect_directly(self, timeout_s: float) -> None:
-        """Open a connection outside the pool and ask for the status."""
+        """Open a connection outside the pool and request the status."""
         try:
             self.link = await self.member.open_link(timeout_s)
         except UpstreamLostError as error:
@@ -84,16 +84,16 @@
         await self.request_status(STATUS_REQUEST)
 
     async def request_status(self, request: Request) -> UpstreamStatus | None:
-        """Send an order whose answer is the status; return that, None without one."""
+        """Send a request whose reply is a status; return it, None without a reply."""
         self.status = None
-        give_up_s = boot_time_s() + REQUEST_TIMEOUT_S
+        deadline_s = boot_time_s() + REQUEST_TIMEOUT_S
         while self.link is not None and self.link.is_open:
             try:
                 (reply,) = await self.link.exchange([request], REQUEST_TIMEOUT_S)
             except (UpstreamLostError, ReplyTimeoutError) as error:
                 self.log_unanswered(repr(error))
                 return None
-            if reply.rejection is RejectionKind.BUSY and boot_time_s() < give_up_s:
+            if reply.rejection is RejectionKind.BUSY and boot_time_s() < deadline_s:
                 await asyncio.sleep(BUSY_PAUSE_S)
                 continue
             found = self.link.codec.read_status(reply)
@@ -105,7 +105,7 @@
         return None
 
     async def pause(self, term: int) -> None:
-        """Stop the upstream from receiving in the terms so far."""
+        """Make the upstream receive nothing of terms below a given one."""
         self.paused_term = term
         self.is_paused = (
             await self.request_status(build_pause_request(term)) is not None
@@ -114,7 +114,7 @@
     async def resume(self) -> None:
         """Let the upstream receive again, unless another proxy has paused it since.
 
-        Whoever holds the duty later pauses with a higher term.
+        A later lease holder pauses with a higher term.
         """
         if not self.is_paused:
             return
@@ -123,11 +123,11 @@
             await self.request_status(RESUME_REQUEST)
 
     async def prove_primary(self) -> PositionSample | None:
-        """Ask whether the upstream leads now, by a transaction that only then opens.
+        """Probe whether the upstream is the primary by a read-write transaction.
 
         Returns:
-            The position of its log, with the time of the question; None if it
-            doesn't lead or doesn't answer.
+            The position of its log and the time of the probe; None if it isn't the
+            primary or doesn't reply.
         """
         if self.link is None or not self.link.is_open:
             return None
@@ -141,7 +141,7 @@
         return PositionSample(sent_at_s, began.position)
 
     def close(self) -> None:
-        """Give the connection back, or drop it."""
+        """Release the connection to the pool, or close it."""
         link, self.link = self.link, None
         if link is None:
             return
@@ -152,9 +152,9 @@
             link.close()
 
     def log_unanswered(self, reason: str) -> None:
-        """Log an upstream that did not answer."""
+        """Log an upstream that did not reply."""
         logger.bind(
             group=self.member.entry.group,
             upstream=self.member.member_id,
             reason=reason,
-        ).warning("promotion_contact_silent")
+        ).warning("promotion_upstream_silent")
--- a/ebonyrack/promotion/promoter.py
+++ b/ebonyrack/promotion/promoter.py
@@ -1,4 +1,4 @@
-"""Changes a group's primary: pause, compare, order, and wait until it leads."""
+"""Changes a group's primary: pause replicas, compare logs, order a promotion, wait."""
 
 from __future__ import annotations
 
@@ -25,24 +25,25 @@
 from ebonyrack.requests.request import STATUS_REQUEST
 from ebonyrack.store.leasing_store import LeasingStore
 
-# One question to a primary that seems lost; whoever answers later is too late.
+# Timeout of a request to a primary that seems lost; a later reply is of no use.
 LOST_PRIMARY_TIMEOUT_S = 0.15
-# Between two looks at replicas that must catch up or answer.
+# Pause between checks of replicas that must catch up or reply.
 RECHECK_PAUSE_S = 0.05
-# Between two questions whether the new primary leads.
+# Pause between probes of the new primary.
 PRIMARY_CHECK_PAUSE_S = 0.05
-# An order takes the platform up to a second; after this it is given another turn.
+# The platform takes up to a second for an order; after this time the attempt ends and
+# may be retried.
 PRIMARY_WAIT_S = 2.0
 
 
-# Under these verdicts a primary that proves to lead is not replaced.
+# In these health states a primary that proves its role is not replaced.
 CLEARED_BY_PROOF = frozenset(
     {PrimaryHealth.SILENT, PrimaryHealth.REFUSING, PrimaryHealth.UNKNOWN}
 )
 
 
 class PromotionResult(StrEnum):
-    """How an attempt ended."""
+    """Result of one attempt to change the primary."""
 
     PROMOTED = "leads"
     NOT_NEEDED = "not_needed"
@@ -54,7 +55,7 @@
     NOT_PRIMARY = "not_leading"
 
 
-# After these nothing of the order will happen.
+# Results after which the order will certainly not be carried out.
 KNOWN_NOT_CARRIED_OUT = frozenset(
     {
         PromotionResult.LEASE_NOT_HELD,
@@ -69,8 +70,8 @@
 
     Attributes:
         group: The group.
-        store: The store, for the duty.
-        order_client: Takes orders.
+        store: The store that holds the promotion lease.
+        order_client: Sends promotion orders.
         name: Name of this proxy.
     """
 
@@ -89,13 +90,13 @@
         self.name = name
 
     async def run(self, health: PrimaryHealth) -> PromotionResult:
-        """Take the duty and change the primary once.
+        """Acquire the promotion lease and attempt one change of primary.
 
         Args:
-            health: What is wrong with the present one.
+            health: Health state of the current primary.
 
         Returns:
-            How it ended.
+            The result of the attempt.
         """
         lease = await acquire_promotion_lease(self.store, self.group.name, self.name)
         if lease is None:
@@ -117,13 +118,13 @@
     async def change_primary(
         self, lease: PromotionLease, health: PrimaryHealth
     ) -> PromotionResult:
-        """Ask all upstreams and change the primary if that is still needed."""
+        """Query all upstreams and change the primary if that is still needed."""
         primary = self.group.primary
         participants = [
             PromotionParticipant(member) for member in self.group.members.values()
         ]
         try:
-            # Open connections to a lost primary may be silent for good.
+            # Open connections to a lost primary may never reply.
             is_lost = health is not PrimaryHealth.LEAVING
             await asyncio.gather(
                 *(
@@ -138,13 +139,13 @@
                     participant
                 ):
                     return PromotionResult.NOT_NEEDED
-            old = [
+            former_primary = [
                 participant
                 for participant in participants
                 if participant.member is primary
             ]
             if health in CLEARED_BY_PROOF:
-                for participant in old:
+                for participant in former_primary:
                     if await self.is_serving_primary(participant):
                         return PromotionResult.NOT_NEEDED
             replicas = [
@@ -152,20 +153,20 @@
                 for participant in participants
                 if participant.member is not primary
             ]
-            return await self.promote_candidate(lease, health, old, replicas)
+            return await self.promote_candidate(lease, health, former_primary, replicas)
         finally:
             for participant in participants:
                 participant.close()
 
     async def is_serving_primary(self, participant: PromotionParticipant) -> bool:
-        """Return whether an upstream leads after all; the group is told."""
+        """Return whether an upstream is the primary after all, and record it."""
         status = participant.status
         if status is None or not status.is_primary:
             return False
         return await self.prove_primary(participant)
 
     async def prove_primary(self, participant: PromotionParticipant) -> bool:
-        """Have an upstream prove that it leads; the group is told if it does."""
+        """Probe whether an upstream is the primary, and record it if so."""
         proof = await participant.prove_primary()
         if proof is None:
             return False
@@ -178,21 +179,23 @@
         self,
         lease: PromotionLease,
         health: PrimaryHealth,
-        old: list[PromotionParticipant],
+        former_primary: list[PromotionParticipant],
         replicas: list[PromotionParticipant],
     ) -> PromotionResult:
-        """Find a successor that holds all that was acknowledged and order it."""
-        statuses = [c.status for c in old + replicas if c.status is not None]
-        newest = max(
+        """Find a candidate that holds all acknowledged commits and promote it."""
+        statuses = [c.status for c in former_primary + replicas if c.status is not None]
+        newest_term = max(
             (max(status.term, status.paused_term) for status in statuses), default=0
         )
-        chosen = await self.find_candidate(lease, newest + 1, health, old, replicas)
+        chosen = await self.find_candidate(
+            lease, newest_term + 1, health, former_primary, replicas
+        )
         if isinstance(chosen, PromotionResult):
             await self.resume(replicas)
             return chosen
         result = await self.send_order(lease, chosen)
-        # An order that may still be carried out needs the pauses to stay: what the
-        # replicas receive from now on, the successor may lack.
+        # Replicas stay paused if the order may still be carried out: the new primary
+        # may lack what they receive from now on.
         if result in KNOWN_NOT_CARRIED_OUT:
             await self.resume(replicas)
         return result
@@ -202,18 +205,18 @@
         lease: PromotionLease,
         term: int,
         health: PrimaryHealth,
-        old: list[PromotionParticipant],
+        former_primary: list[PromotionParticipant],
         replicas: list[PromotionParticipant],
     ) -> PromotionParticipant | PromotionResult:
-        """Pause the others and wait until one replica holds what all of them do.
+        """Pause the other replicas and wait until one holds all that any of them holds.
 
         Returns:
-            That replica, or why there is none.
+            That replica, or the result if there is none.
         """
         primary_serves = health is PrimaryHealth.LEAVING
-        needed = self.group.limits.acknowledging_replicas
+        acknowledging_replicas = self.group.limits.acknowledging_replicas
         while lease.is_held:
-            states = [describe(participant) for participant in replicas]
+            states = [build_replica_state(participant) for participant in replicas]
             candidate_id = choose_candidate(states, primary_serves)
             for participant in replicas:
                 if (
@@ -225,18 +228,20 @@
             if chosen and chosen[0].status is not None:
                 if not chosen[0].is_paused:
                     await chosen[0].request_status(STATUS_REQUEST)
-                states = [describe(participant) for participant in replicas]
-                if is_safe_candidate(chosen[0].member.member_id, states, needed):
+                states = [build_replica_state(participant) for participant in replicas]
+                if is_safe_candidate(
+                    chosen[0].member.member_id, states, acknowledging_replicas
+                ):
                     return chosen[0]
-                # While one is silent its pause decides nothing and would hold up the
-                # commits of a primary that is only out of reach from here.
-                all_answer = all(each.received is not None for each in states)
-                if all_answer and not primary_serves and not chosen[0].is_paused:
+                # While a replica is silent, pausing the candidate achieves nothing and
+                # would stall commits if the primary is only unreachable from here.
+                all_reply = all(each.received is not None for each in states)
+                if all_reply and not primary_serves and not chosen[0].is_paused:
                     await chosen[0].pause(term)
             self.log_unsafe(states)
             await asyncio.sleep(RECHECK_PAUSE_S)
             has_primary_recovered, _ = await asyncio.gather(
-                self.has_primary_recovered(health, old),
+                self.has_primary_recovered(health, former_primary),
                 self.refresh_participants(replicas),
             )
             if has_primary_recovered:
@@ -244,12 +249,12 @@
         return PromotionResult.NO_SAFE_SUCCESSOR
 
     async def has_primary_recovered(
-        self, health: PrimaryHealth, old: list[PromotionParticipant]
+        self, health: PrimaryHealth, former_primary: list[PromotionParticipant]
     ) -> bool:
-        """Return whether the primary that seemed lost leads after all."""
+        """Return whether the primary that seemed lost is the primary after all."""
         if health not in CLEARED_BY_PROOF:
             return False
-        for participant in old:
+        for participant in former_primary:
             if participant.link is None or not participant.link.is_open:
                 await participant.connect_directly(LOST_PRIMARY_TIMEOUT_S)
             else:
@@ -259,7 +264,7 @@
         return False
 
     async def refresh_participants(self, replicas: list[PromotionParticipant]) -> None:
-        """Ask those that wait to catch up, and connect again to the silent ones."""
+        """Update the status of unpaused replicas and reconnect to the silent ones."""
         for participant in replicas:
             if participant.link is None or not participant.link.is_open:
                 participant.is_paused = False
@@ -270,7 +275,7 @@
     async def send_order(
         self, lease: PromotionLease, chosen: PromotionParticipant
     ) -> PromotionResult:
-        """Order the promotion and wait until the upstream leads."""
+        """Order the promotion and wait until the upstream is the primary."""
         if not lease.is_held:
             return PromotionResult.LEASE_NOT_HELD
         member = chosen.member
@@ -291,8 +296,8 @@
             return PromotionResult.REFUSED
         if isinstance(outcome, Err):
             return PromotionResult.NOT_ACCEPTED
-        give_up_s = boot_time_s() + PRIMARY_WAIT_S
-        while boot_time_s() < give_up_s:
+        deadline_s = boot_time_s() + PRIMARY_WAIT_S
+        while boot_time_s() < deadline_s:
             if await self.prove_primary(chosen):
                 return PromotionResult.PROMOTED
             await asyncio.sleep(PRIMARY_CHECK_PAUSE_S)
@@ -301,12 +306,12 @@
         return PromotionResult.NOT_PRIMARY
 
     async def resume(self, replicas: list[PromotionParticipant]) -> None:
-        """Let paused replicas receive again."""
+        """Let the paused replicas receive again."""
         for participant in replicas:
             await participant.resume()
 
     def log_unsafe(self, states: list[ReplicaState]) -> None:
-        """Log why no replica may lead yet."""
+        """Log why no replica can be promoted yet."""
         logger.bind(
             group=self.group.name,
             replicas={
@@ -316,8 +321,8 @@
         ).warning("promotion_waits")
 
 
-def describe(participant: PromotionParticipant) -> ReplicaState:
-    """Return what is known of an upstream for the choice of the successor."""
+def build_replica_state(participant: PromotionParticipant) -> ReplicaState:
+    """Return the state of an upstream for the choice of the candidate."""
     status = participant.status
     return ReplicaState(
         member_id=participant.member.member_id,
--- a/ebonyrack/promotion/promoter_test.py
+++ b/ebonyrack/promotion/promoter_test.py
@@ -1,4 +1,4 @@
-"""Changes of primary step by step, over real connections to stand-ins."""
+"""Changes of primary step by step, over real connections to stand-in upstreams."""
 
 import asyncio
 
@@ -29,11 +29,11 @@
             assert answer[0].startswith("COMPLETE")
 
 
-async def test_a_primary_that_leads_after_all_gives_a_position_of_that_time(system):
+async def test_primary_that_still_serves_is_recorded_with_its_current_position(system):
     promoter = get_promoter(system)
     participant = PromotionParticipant(promoter.group.members["up-1"])
     await participant.connect()
-    # Other proxies go on writing between the status and the proof.
+    # Another caller writes between the status and the proof.
     await write(system, 3)
     promoter.group.position_history.clear()
     assert await promoter.is_serving_primary(participant)
@@ -53,7 +53,7 @@
     assert any(member.held_term for member in system.group.members.values())
 
 
-async def test_replicas_receive_again_after_an_order_that_was_surely_not_taken(
+async def test_replicas_resume_after_an_order_that_was_not_accepted(
     system, monkeypatch
 ):
     await write(system, 3)
@@ -72,7 +72,7 @@
     assert not any(member.held_term for member in system.group.members.values())
 
 
-async def test_a_healthy_primary_is_not_replaced_for_one_suspicion(system):
+async def test_healthy_primary_that_seems_silent_is_not_replaced(system):
     await write(system, 1)
     assert (
         await get_promoter(system).run(PrimaryHealth.SILENT)
@@ -81,9 +81,9 @@
     assert system.group.promotions == []
 
 
-async def test_a_primary_that_comes_back_ends_the_wait_for_a_silent_replica(system):
-    # A crowded primary answered too late, while a replica is down: without its answer
-    # no successor is safe, and the duty was held for nothing.
+async def test_recovered_primary_ends_the_wait_for_a_silent_replica(system):
+    # An overloaded primary replies too late while a replica is down. No candidate is
+    # safe without that replica's reply, so the lease would be held in vain.
     await write(system, 1)
     for member_id in ("up-1", "up-3"):
         system.upstreams[member_id].faults.is_silent = True
@@ -95,7 +95,7 @@
     assert not any(member.held_term for member in system.group.members.values())
 
 
-async def test_a_pause_of_a_later_holder_is_not_lifted(system):
+async def test_pause_by_a_later_lease_holder_is_not_resumed(system):
     promoter = get_promoter(system)
     participant = PromotionParticipant(promoter.group.members["up-2"])
     await participant.connect()
