--- a/ebonyrack/members/__init__.py
+++ b/ebonyrack/members/__init__.py
@@ -1,1 +1,1 @@
-"""Upstreams of the database groups, their connections and what is known of them."""
+"""Upstreams of the database groups: connections, health and primary."""
--- a/ebonyrack/members/directory.py
+++ b/ebonyrack/members/directory.py
@@ -1,4 +1,4 @@
-"""Keeps the upstreams of all groups as the store names them."""
+"""Directory of the upstreams that are registered in the store."""
 
 from __future__ import annotations
 
@@ -18,14 +18,14 @@
 
 
 class UpstreamDirectory:
-    """Entries of the upstreams, handed on to their groups.
+    """Applies the entries of upstreams to their groups.
 
-    An entry that is missing is kept for a while: it may have lapsed while the store
-    was away. Time counts only while the store answers.
+    A missing entry is kept for a while: it may have expired during an outage of the
+    store. This time is measured only while the store replies.
 
     Attributes:
-        prefix: Start of the keys of entries.
-        decode: Reads an entry.
+        prefix: Key prefix of the entries.
+        decode: Decodes an entry.
         groups: Groups by name.
         entries: Entry by identity.
         is_loaded: Whether the store has been read once.
@@ -43,10 +43,10 @@
         self.is_loaded = False
 
     async def apply(self, changes: StoreChanges) -> None:
-        """Take over what the store says.
+        """Apply changes of the store.
 
         Args:
-            changes: Items and keys of the store, of this prefix or others.
+            changes: Items and keys of the store, with this prefix or others.
         """
         present = set()
         for item in changes.items:
@@ -66,7 +66,7 @@
             self.record_missing(member_id)
 
     async def apply_item(self, item: StoreItem) -> None:
-        """Take over one entry; one that can't be read changes nothing."""
+        """Apply one entry; an undecodable one is logged and ignored."""
         found = self.decode(item)
         if isinstance(found, Err):
             logger.bind(key=item.key, reason=found.err_value).warning(
@@ -91,7 +91,7 @@
             await group.apply_entry(entry)
 
     def record_missing(self, member_id: str) -> None:
-        """Note that an entry is not there any more."""
+        """Record that an entry is no longer in the store."""
         entry = self.entries.get(member_id)
         group = self.groups.get(entry.group) if entry is not None else None
         member = group.members.get(member_id) if group is not None else None
@@ -102,7 +102,7 @@
             )
 
     async def add_group(self, group: Group) -> None:
-        """Hand a new group the entries that were read before it was known."""
+        """Apply the entries that were read before a group was known."""
         for entry in list(self.entries.values()):
             if entry.group == group.name:
                 await group.apply_entry(entry)
@@ -110,12 +110,12 @@
     async def remove_missing(
         self, answering_since_s: float | None, limit_s: float
     ) -> None:
-        """Forget upstreams whose entries stay away while the store answers.
+        """Remove upstreams whose entries stay missing while the store replies.
 
         Args:
-            answering_since_s: Time since which the store answers; None if it
+            answering_since_s: Time since which the store replies; None if it
                 doesn't.
-            limit_s: Seconds after which a missing upstream counts as gone.
+            limit_s: Seconds after which an upstream without an entry is removed.
         """
         now = boot_time_s()
         for group in self.groups.values():
@@ -129,4 +129,4 @@
                 since_s = max(since_s, answering_since_s)
                 if now - since_s > limit_s and member is not group.primary:
                     self.entries.pop(member.member_id, None)
-                    await group.remove(member.member_id, "its entry stays away")
+                    await group.remove(member.member_id, "its entry is missing")
--- a/ebonyrack/members/entry.py
+++ b/ebonyrack/members/entry.py
@@ -1,4 +1,4 @@
-"""What an upstream says of itself in the platform's store."""
+"""The entry with which an upstream registers in the platform's store."""
 
 from __future__ import annotations
 
@@ -9,19 +9,19 @@
 
 @dataclass(frozen=True, slots=True)
 class MemberEntry:
-    """One upstream of a group, as it registered itself.
+    """One upstream of a group, as registered by itself.
 
     Attributes:
-        member_id: Identity; addresses are used again by others.
+        member_id: Identity; unlike an address, it is not reused by other upstreams.
         group: Its database group.
-        address: Where it takes connections.
+        address: Where it accepts connections.
         data_centre: Data centre of its VM.
-        slots: Statements that it runs at once.
-        is_leaving: Whether it will end soon and wants no new work.
+        slots: Number of statements that it runs at once.
+        is_leaving: Whether it will shut down soon and accepts no new work.
         reports_primary: Whether it sees itself as the primary.
         started_at_ms: Start time in Unix milliseconds. A changed value under the same
             identity means a restarted upstream that kept no earlier state.
-        revision: Revision of the store at which this was written.
+        revision: Store revision at which the entry was written.
     """
 
     member_id: str
--- a/ebonyrack/members/group.py
+++ b/ebonyrack/members/group.py
@@ -1,4 +1,4 @@
-"""One database group: its upstreams, its primary and the positions it has reached."""
+"""One database group: its upstreams, primary and connection limits."""
 
 from __future__ import annotations
 
@@ -16,11 +16,11 @@
 from ebonyrack.requests.codec import UpstreamCodec
 from ebonyrack.routes.route import GroupLimits
 
-# A connection that isn't kept is closed after this time unused, in seconds. Opening
-# one takes an upstream's slot for some ten milliseconds, as long as a statement.
+# Idle connections above the limit are closed after this time, in seconds. Opening one
+# occupies a slot of the upstream for some ten milliseconds, as long as a statement.
 IDLE_LIMIT_S = 2.0
-# Questions to the upstreams find a new primary within this time, in seconds; the store
-# knows more only if the upstreams that are known are not all.
+# Probes of the known upstreams find a new primary within this time, in seconds; after
+# that, the store may list upstreams that aren't known yet.
 PROBE_DISCOVERY_S = 1.5
 
 
@@ -28,14 +28,14 @@
     """A primary and its replicas.
 
     Attributes:
-        limits: What the operators say of the group.
+        limits: The operators' settings of the group.
         data_centre: Data centre of this proxy.
         codec: Protocol of the upstreams.
-        started_s: Time since which the proxy serves it, on the boot clock.
-        live_proxies: Proxies that are known to live, this one included.
+        started_s: Time since which the proxy serves the group, on the boot clock.
+        live_proxies: Number of proxies known to be alive, including this one.
         connection_share: Connections to each upstream that this proxy may hold.
-        queue_weights: Shares of the databases in the queues.
-        demand: The classes of reads that ask for the group.
+        queue_weights: Queue weight by database.
+        demand: Recent reads of the group by class.
     """
 
     __slots__ = (
@@ -79,7 +79,7 @@
         """Set how many connections to each upstream this proxy may hold.
 
         Args:
-            live_proxies: Proxies that are known to live, this one included.
+            live_proxies: Number of proxies known to be alive, including this one.
         """
         share = compute_share(self.limits.maximum_connections, live_proxies)
         self.live_proxies = live_proxies
@@ -90,38 +90,38 @@
 
     @property
     def is_short_of_connections(self) -> bool:
-        """Whether connections of before the proxy's start may still linger."""
+        """Whether connections from before the proxy's start may use up the limit."""
         age_s = boot_time_s() - self.started_s
         return is_short_of_connections(
             age_s, self.limits.maximum_connections, self.live_proxies
         )
 
     def trim_idle_connections(self) -> None:
-        """Close connections that are unused and not kept."""
+        """Close idle connections above the limit."""
         for member in self.members.values():
             is_primary = member is self.primary
             member.pool.keeps_idle_connections = not (
                 is_primary and self.is_short_of_connections
             )
             is_near = member.entry.data_centre == self.data_centre
-            kept = compute_idle_limit(self.connection_share, is_near, is_primary)
-            member.pool.trim_idle(kept, IDLE_LIMIT_S)
+            idle_limit = compute_idle_limit(self.connection_share, is_near, is_primary)
+            member.pool.trim_idle(idle_limit, IDLE_LIMIT_S)
 
     def set_weights(self, weights: dict[str, int]) -> None:
-        """Set the shares of the databases in the queues."""
+        """Set the queue weights of the databases."""
         self.queue_weights = weights
         for member in self.members.values():
             member.pool.set_weights(weights)
 
     async def apply_entry(self, entry: MemberEntry) -> None:
-        """Take over what an upstream says of itself.
+        """Apply the newest entry of an upstream.
 
         Args:
-            entry: The newest entry of the upstream.
+            entry: The entry.
         """
         member = self.members.get(entry.member_id)
         if member is not None and is_restarted(member.entry, entry):
-            await self.remove(entry.member_id, "it started anew")
+            await self.remove(entry.member_id, "it restarted")
             member = None
         if member is None:
             member = Member(entry, self.codec, self.connection_share)
@@ -150,7 +150,7 @@
             )
 
     async def remove(self, member_id: str, reason: str) -> None:
-        """Forget an upstream that is gone.
+        """Remove an upstream that has left the group.
 
         Args:
             member_id: Its identity.
@@ -168,7 +168,7 @@
 
     @property
     def lacks_upstreams(self) -> bool:
-        """Whether upstreams that are not known yet may be what it needs."""
+        """Whether the group may have upstreams that are not known yet."""
         if not self.members or self.measure_known_outage() > PROBE_DISCOVERY_S:
             return True
         return any(
@@ -177,5 +177,5 @@
 
 
 def is_restarted(known: MemberEntry, entry: MemberEntry) -> bool:
-    """Return whether an entry is of an upstream that started anew."""
+    """Return whether an entry is of an upstream that has restarted."""
     return (known.started_at_ms, known.address) != (entry.started_at_ms, entry.address)
--- a/ebonyrack/members/link.py
+++ b/ebonyrack/members/link.py
@@ -1,4 +1,4 @@
-"""One connection to an upstream, used by one transaction or statement at a time."""
+"""A connection to an upstream, used by one transaction or statement at a time."""
 
 from __future__ import annotations
 
@@ -25,13 +25,14 @@
 from ebonyrack.requests.request import Request
 from ebonyrack.requests.request import RequestKind
 
-# TCP breaks a connection whose bytes stay unacknowledged this long. Links between
-# data centres answer in a few milliseconds, so only a cut or a dark VM does that.
+# TCP breaks a connection whose bytes stay unacknowledged for this long. Round trips
+# between data centres take a few milliseconds, so only a network partition or a lost VM
+# delays acknowledgements for so long.
 UNACKNOWLEDGED_LIMIT_MS = 1500
 
 
 class ReplyTimeoutError(Exception):
-    """No reply came in time; what was sent may have run."""
+    """No reply came in time; the requests that were sent may have run."""
 
 
 class UpstreamLink:
@@ -40,12 +41,13 @@
     Attributes:
         stream: The connection.
         codec: Protocol of the upstream.
-        liveness: What the proxy knows of the upstream's life.
+        liveness: Records whether the upstream replies.
         state: State of the upstream's session.
-        due: Replies still to come.
-        values: Session values that are set on it.
-        prepared: Names that are prepared on it.
-        is_abandonable: Whether what runs on it may be given up and run elsewhere.
+        due: Number of outstanding replies.
+        values: Session values that are set on the connection.
+        prepared: Names of the statements that are prepared on it.
+        is_abandonable: Whether its current exchange may be abandoned and repeated
+            elsewhere.
     """
 
     __slots__ = (
@@ -78,16 +80,16 @@
 
     @property
     def is_clean(self) -> bool:
-        """Whether it is open and idle, with nothing due."""
+        """Whether it is open and idle, with no reply outstanding."""
         return self.is_open and self.due == 0 and self.state is TransactionState.IDLE
 
     @property
     def is_idle_in_transaction(self) -> bool:
-        """Whether a transaction holds it and nothing is due."""
+        """Whether it is in a transaction with no reply outstanding."""
         return self.due == 0 and self.state is TransactionState.OPEN
 
     def close(self) -> None:
-        """Drop the connection at once; an open transaction is rolled back."""
+        """Close the connection at once; an open transaction is rolled back."""
         self.stream.abort("closed by the proxy")
 
     async def exchange(
@@ -96,19 +98,19 @@
         timeout_s: float,
         is_abandonable: bool = True,
     ) -> list[Reply]:
-        """Send statements in one go and wait for all replies.
+        """Send a batch of requests and wait for all replies.
 
         Args:
-            requests: The statements.
+            requests: The requests.
             timeout_s: Seconds to wait. The connection is closed after that.
-            is_abandonable: Whether the exchange may be given up when the upstream
-                turns silent, as nothing is kept without a later commit.
+            is_abandonable: Whether the exchange may be abandoned when the upstream
+                falls silent, as nothing is kept without a later commit.
 
         Returns:
-            A reply for each statement.
+            A reply to each request.
 
         Raises:
-            UpstreamLostError: If the connection broke; what was sent may have run.
+            UpstreamLostError: If the connection broke; the requests may have run.
             ReplyTimeoutError: If a reply did not come in time.
         """
         number = self.liveness.record_sent()
@@ -138,14 +140,13 @@
         return replies
 
     async def probe_primary(self, timeout_s: float) -> tuple[Reply, float]:
-        """Open a plain transaction, which only the primary allows, and end it.
+        """Begin a read-write transaction, which only a primary accepts, and end it.
 
         Args:
             timeout_s: Seconds to wait.
 
         Returns:
-            The reply to its beginning, and the time of the question on the boot
-            clock.
+            The reply to BEGIN, and the time of the probe on the boot clock.
 
         Raises:
             UpstreamLostError: If the connection broke.
@@ -156,7 +157,7 @@
         return began, sent_at_s
 
     async def read_reply(self) -> Reply:
-        """Wait for the reply to the oldest statement that has none."""
+        """Wait for the reply to the oldest request without one."""
         reply = await self.codec.read_reply(self.stream)
         self.due -= 1
         self.state = reply.state
@@ -169,18 +170,18 @@
         prepared: PreparedStatement | None,
         timeout_s: float,
     ) -> None:
-        """Give the connection a caller's session values and a prepared statement.
+        """Set a caller's session values and prepare its statement on the connection.
 
-        It is awaited before the caller's own statement is sent, which must not run
-        with other values.
+        This completes before the caller's statement is sent, which must not run with
+        other values.
 
         Args:
-            context: What the caller has set.
+            context: Values that the caller has set.
             prepared: Statement that the caller executes next, or None.
             timeout_s: Seconds to wait.
 
         Raises:
-            UpstreamLostError: If the connection broke or the upstream refused.
+            UpstreamLostError: If the connection broke or the upstream rejected it.
             ReplyTimeoutError: If a reply did not come in time.
         """
         requests = self.plan_session_setup(context, prepared)
@@ -190,7 +191,7 @@
         for reply in replies:
             if reply.rejection is not None:
                 self.close()
-                raise UpstreamLostError(f"the set-up was refused: {reply.detail}")
+                raise UpstreamLostError(f"session set-up was rejected: {reply.detail}")
         if requests[0] is DISCARD_REQUEST:
             self.prepared.clear()
         self.values = dict(context.values)
@@ -200,7 +201,7 @@
     def plan_session_setup(
         self, context: SessionContext, prepared: PreparedStatement | None
     ) -> list[Request]:
-        """Return the statements that bring the connection to a caller's session."""
+        """Return the requests that set the connection up for a caller's session."""
         requests: list[Request] = []
         known_values, known_names = self.values, self.prepared
         if known_values.keys() - context.values.keys():
@@ -224,20 +225,20 @@
 async def open_link(
     entry: MemberEntry, codec: UpstreamCodec, liveness: Liveness, timeout_s: float
 ) -> UpstreamLink:
-    """Open a connection and name the upstream that is expected there.
+    """Open a session that names the upstream expected at the address.
 
     Args:
         entry: The upstream.
         codec: Its protocol.
-        liveness: What the proxy knows of its life.
+        liveness: Records whether it replies.
         timeout_s: Seconds for connecting and opening the session.
 
     Returns:
         The connection, idle.
 
     Raises:
-        UpstreamLostError: If it can't be reached, another one answers, or it has no
-            connection to spare.
+        UpstreamLostError: If it can't be reached, another upstream replies, or it
+            accepts no more connections.
     """
     number = liveness.record_sent()
     was_abandoned = False
@@ -256,7 +257,7 @@
             stream.abort("the session did not open")
         raise UpstreamLostError(f"no session within {timeout_s:.3f} s") from None
     except BaseException:
-        # Ended by the pool because the upstream is silent.
+        # Cancelled by the pool because the upstream is silent.
         was_abandoned = True
         if stream is not None:
             stream.abort("the session did not open")
@@ -264,7 +265,7 @@
     finally:
         liveness.record_ended(number, was_abandoned)
     if reply.rejection is not None:
-        stream.abort("the session was refused")
+        stream.abort("the session was rejected")
         too_many = reply.rejection is RejectionKind.TOO_MANY_CONNECTIONS
         raise UpstreamLostError(reply.detail, TOO_MANY_CONNECTIONS if too_many else "")
     liveness.record_reply()
--- a/ebonyrack/members/liveness.py
+++ b/ebonyrack/members/liveness.py
@@ -1,4 +1,4 @@
-"""Whether an upstream still answers, from what was sent and heard."""
+"""Tracks whether an upstream still replies."""
 
 from __future__ import annotations
 
@@ -8,18 +8,18 @@
 
 
 class Liveness:
-    """What was sent to an upstream without an answer, and when it was last heard.
+    """Records unanswered exchanges with an upstream and the time of its last reply.
 
-    Times are on the clock that goes on while the VM is suspended.
+    Times are on the boot clock, which continues while the VM is suspended.
 
     Attributes:
-        unanswered: Time of sending of each exchange without an answer.
-        replied_at_s: Time of the last answer of any kind; 0 if none came yet.
-        abandoned_sent_s: Time of sending of the first exchange since the last answer
-            that was given up or whose connection broke; None if there is none.
-        refused_since_s: Time of the first of the refused connections since the last
-            answer, or None.
-        exchange_numbers: Numbers for exchanges.
+        unanswered: Send time of each exchange without a reply, by number.
+        replied_at_s: Time of the last reply of any kind; 0 if none came yet.
+        abandoned_sent_s: Send time of the first exchange since the last reply that
+            was abandoned or whose connection broke; None if there is none.
+        refused_since_s: Time of the first refused connection since the last reply, or
+            None.
+        exchange_numbers: Source of exchange numbers.
     """
 
     __slots__ = (
@@ -38,29 +38,29 @@
         self.exchange_numbers = itertools.count()
 
     def record_sent(self) -> int:
-        """Note that something was sent; return the number of the exchange."""
+        """Record the start of an exchange and return its number."""
         number = next(self.exchange_numbers)
         self.unanswered[number] = boot_time_s()
         return number
 
     def record_reply(self) -> None:
-        """Note that an answer came."""
+        """Record a reply."""
         self.replied_at_s = boot_time_s()
         self.abandoned_sent_s = None
         self.refused_since_s = None
 
     def record_refusal(self) -> None:
-        """Note that a connection was refused."""
+        """Record a refused connection."""
         if self.refused_since_s is None:
             self.refused_since_s = boot_time_s()
 
     def record_ended(self, number: int, was_abandoned: bool = False) -> None:
-        """Note that an exchange has ended.
+        """Record the end of an exchange.
 
         Args:
             number: Number of the exchange.
-            was_abandoned: Whether no answer came in time or the connection broke, so
-                that the silence goes on.
+            was_abandoned: Whether no reply came in time or the connection broke, so
+                that the silence continues.
         """
         sent_s = self.unanswered.pop(number, None)
         if sent_s is None or not was_abandoned or sent_s < self.replied_at_s:
@@ -69,14 +69,14 @@
             self.abandoned_sent_s = sent_s
 
     def reset_silence(self) -> None:
-        """Count silence from now, as this proxy itself was away."""
+        """Measure silence from now on, as this proxy itself was suspended."""
         now = boot_time_s()
         self.unanswered = dict.fromkeys(self.unanswered, now)
         self.abandoned_sent_s = None
         self.refused_since_s = None
 
     def measure_silence(self) -> float:
-        """Return for how long an exchange waits without anything being heard."""
+        """Return for how long exchanges have waited without any reply, in seconds."""
         sent_s = list(self.unanswered.values())
         if self.abandoned_sent_s is not None:
             sent_s.append(self.abandoned_sent_s)
--- a/ebonyrack/members/liveness_test.py
+++ b/ebonyrack/members/liveness_test.py
@@ -13,7 +13,7 @@
     return Clock
 
 
-def test_silence_counts_from_what_was_sent_after_the_last_answer(clock):
+def test_silence_is_measured_from_the_last_reply(clock):
     liveness = Liveness()
     liveness.record_sent()
     clock.time_s += 1
@@ -23,7 +23,7 @@
     assert liveness.measure_silence() == 2
 
 
-def test_silence_goes_on_after_an_exchange_was_given_up(clock):
+def test_silence_continues_after_an_abandoned_exchange(clock):
     liveness = Liveness()
     number = liveness.record_sent()
     clock.time_s += 0.8
@@ -35,7 +35,7 @@
     assert liveness.measure_silence() == 0
 
 
-def test_an_upstream_that_nothing_is_sent_to_is_not_silent(clock):
+def test_upstream_without_pending_exchanges_is_not_silent(clock):
     liveness = Liveness()
     number = liveness.record_sent()
     liveness.record_reply()
@@ -44,7 +44,7 @@
     assert liveness.measure_silence() == 0
 
 
-def test_a_proxy_that_was_away_counts_silence_anew(clock):
+def test_reset_after_a_suspension_clears_silence_and_refusals(clock):
     liveness = Liveness()
     liveness.record_sent()
     liveness.record_refusal()
--- a/ebonyrack/members/member.py
+++ b/ebonyrack/members/member.py
@@ -1,4 +1,4 @@
-"""One upstream of a group: its pool and what is known of its log."""
+"""One upstream of a group: its connection pool, health and log position."""
 
 from __future__ import annotations
 
@@ -17,22 +17,22 @@
 from ebonyrack.requests.reply import RejectionKind
 from ebonyrack.requests.reply import Reply
 
-# How long a replica that lacked a position isn't asked for that one again; a replica
-# that keeps up applies a commit within this time.
+# How long a replica that lacked a position is not tried for it again; a replica that
+# keeps up applies a commit within this time.
 LAGGING_PAUSE_S = 0.03
-# How long an upstream that turned work away, or broke off, is tried last.
+# How long an upstream is tried last after it rejected work or lost a connection.
 DEPRIORITIZED_S = 0.25
 
 
 @dataclass(slots=True)
 class MemberQueue:
-    """Settings of the queue before one upstream's pool.
+    """Settings of the queue for one upstream's connections.
 
     Attributes:
         queue_limit: Largest number of requests that wait.
     """
 
-    # More can't be served within a second by the few connections of one proxy.
+    # The few connections of one proxy can't serve more within a second.
     queue_limit: int = 100
 
 
@@ -40,19 +40,19 @@
     """One upstream.
 
     Attributes:
-        entry: What it says of itself.
+        entry: Its newest entry in the store.
         codec: Its protocol.
-        liveness: Whether it answers.
+        liveness: Records whether it replies.
         pool: Connections to it.
-        position: Newest position that it has named.
-        missing_position: Position that it lacked when a read asked for it, or None.
-        lagging_until_s: Time until which it isn't asked for that again.
-        deprioritized_until_s: Time until which others are preferred.
-        abandoned_at_s: Time at which all work here was last given up.
-        reply_time: How long it takes to answer.
+        position: Newest position that it has reported.
+        missing_position: Position that it lacked when a read required it, or None.
+        lagging_until_s: Time until which it isn't tried for that position again.
+        deprioritized_until_s: Time until which other upstreams are preferred.
+        abandoned_at_s: Time at which all work here was last abandoned.
+        reply_time: Statistics of its reply times.
         entry_missing_since_s: Time since which its entry is missing, or None.
-        write_sent_s: Time of sending of each write or commit without an answer.
-        committed_sent_s: Time of sending of the newest one that was acknowledged.
+        write_sent_s: Send time of each write or commit without a reply, by number.
+        committed_sent_s: Send time of the newest acknowledged write or commit.
     """
 
     __slots__ = (
@@ -99,19 +99,19 @@
 
     @property
     def is_reachable(self) -> bool:
-        """Whether it may be expected to answer; the watch asks one that isn't."""
+        """Whether a reply can be expected; the watch probes unreachable upstreams."""
         if self.liveness.refused_since_s is not None:
             return False
         return self.liveness.measure_silence() <= self.silence_limit_s
 
     @property
     def expected_reply_s(self) -> float:
-        """How long a reply is expected to take, in seconds."""
+        """Expected reply time, in seconds."""
         return self.reply_time.estimate(boot_time_s())
 
     @property
     def silence_limit_s(self) -> float:
-        """Seconds of silence after which no answer is expected any more."""
+        """Seconds of silence after which no reply is expected."""
         return self.reply_time.compute_silence_limit(boot_time_s())
 
     async def open_link(self, timeout_s: float) -> UpstreamLink:
@@ -121,25 +121,25 @@
             timeout_s: Seconds for connecting and opening the session.
 
         Raises:
-            UpstreamLostError: If there is none.
+            UpstreamLostError: If none can be opened.
         """
         return await open_link(self.entry, self.codec, self.liveness, timeout_s)
 
     def measure_stall(self) -> float:
-        """Return for how long commits wait without any being done, in seconds."""
+        """Return the seconds for which commits have waited without any completing."""
         if not self.write_sent_s:
             return 0.0
         oldest_s = min(self.write_sent_s.values())
         return boot_time_s() - max(oldest_s, self.committed_sent_s)
 
     def abandon(self) -> int:
-        """Give up what runs or waits here and may run elsewhere.
+        """Abandon running and waiting requests that can be repeated elsewhere.
 
-        Idle connections are dropped too: those that were open may stay silent for
-        good while new ones work.
+        Idle connections are closed too: connections that were open may never reply
+        while new ones work.
 
         Returns:
-            Number of requests that were given up.
+            Number of abandoned requests.
         """
         self.abandoned_at_s = boot_time_s()
         links = [link for link in self.pool.busy if link.is_abandonable]
@@ -151,17 +151,17 @@
         return count
 
     def record_position(self, position: LogPosition | None) -> None:
-        """Take over the position that a reply named."""
+        """Record the position in a reply."""
         if position is not None and (self.position is None or position > self.position):
             self.position = position
 
     def record_lagging(self, position: LogPosition) -> None:
-        """Note that the upstream lacks a position."""
+        """Record that the upstream lacks a position."""
         self.missing_position = position
         self.lagging_until_s = boot_time_s() + LAGGING_PAUSE_S
 
     def record_rejection(self, reply: Reply, position: LogPosition | None) -> None:
-        """Learn from a rejection of a read or of a transaction's beginning.
+        """Record a rejection of a read or a BEGIN.
 
         Args:
             reply: The rejection.
@@ -175,9 +175,9 @@
             self.pool.record_overload()
 
     def record_reply_time(self, elapsed_s: float) -> None:
-        """Take a reply time into the averages."""
+        """Update the reply time statistics."""
         self.reply_time.record(elapsed_s, boot_time_s())
 
     def deprioritize(self) -> None:
-        """Prefer others for a while."""
+        """Prefer other upstreams for a while."""
         self.deprioritized_until_s = boot_time_s() + DEPRIORITIZED_S
--- a/ebonyrack/members/presence.py
+++ b/ebonyrack/members/presence.py
@@ -1,7 +1,7 @@
-"""Registers this proxy in the store and counts the others.
+"""Registers this proxy in the store and counts the live proxies.
 
-Connections of upstreams are shared by all proxies, so each must know how many there
-are. A name ends with its lease, so that a proxy that died is no longer counted.
+All proxies share the connections of the upstreams, so each must know how many proxies
+there are. A name expires with its lease, so a crashed proxy is no longer counted.
 """
 
 from __future__ import annotations
@@ -22,25 +22,25 @@
 from ebonyrack.store.leasing_store import StoreWrite
 
 PREFIX = "ebonyrack/proxies/"
-# Longer than the outages after which connections should be shared anew.
+# Longer than the outages that should not change the shares of connections.
 LEASE_S = 10.0
 RENEWAL_S = 3.0
-# A name that has gone counts this much longer: the proxy may be restarted, its lease
-# may have been taken away in an outage, and its connections linger at the upstreams.
+# A missing name still counts for this long: the proxy may be restarting, its lease may
+# have expired in an outage, and upstreams keep its connections for a while.
 DEPARTED_S = 15.0
 INITIAL_BACKOFF_S = 0.2
 MAXIMUM_BACKOFF_S = 2.0
 
 
 class Presence(Component):
-    """Keeps this proxy's name in the store and the names of all.
+    """Keeps this proxy's name in the store and tracks the names of all proxies.
 
     Attributes:
         store: The store.
         name: Name of this proxy.
-        live_names: Names of the proxies that live, as last heard.
-        departed_at_s: Time at which each of the other names was last heard.
-        on_change: Called when their number changes.
+        live_names: Names that the store listed last.
+        departed_at_s: Time at which each recently removed name went missing.
+        on_change: Called when the number of live proxies changes.
         task: Keeps the name in the store.
     """
 
@@ -57,23 +57,23 @@
         self.task: asyncio.Task[None] | None = None
 
     async def start(self) -> None:
-        """Start to register."""
+        """Start the registration."""
         self.task = start_loop(self.register)
 
     async def stop(self) -> None:
-        """Stop to register; the name ends with its lease."""
+        """Stop the registration; the name expires with its lease."""
         await end_tasks([self.task])
 
     @property
     def live_count(self) -> int:
-        """Number of proxies that live or did a moment ago, this one included."""
+        """Number of proxies that are or recently were alive, including this one."""
         return len(self.live_names | self.departed_at_s.keys() | {self.name})
 
     async def apply(self, changes: StoreChanges) -> None:
-        """Take over what the store says.
+        """Apply changes of the store.
 
         Args:
-            changes: Items and keys of the store, of this prefix or others.
+            changes: Items and keys of the store, with this prefix or others.
         """
         before = self.live_count
         found = {
@@ -81,26 +81,26 @@
             for item in changes.items
             if item.key.startswith(PREFIX)
         }
-        gone = {
+        removed = {
             key.removeprefix(PREFIX)
             for key in changes.deleted
             if key.startswith(PREFIX)
         }
         known = self.live_names
-        self.live_names = found if changes.is_complete else (known | found) - gone
+        self.live_names = found if changes.is_complete else (known | found) - removed
         self.record_departed(known - self.live_names)
         if self.live_count != before:
             logger.bind(before=before, live=self.live_count).info("proxies_counted")
             self.on_change()
 
     def record_departed(self, names: set[str]) -> None:
-        """Count names for a while after they have gone."""
+        """Record missing names, which still count for a while."""
         now = boot_time_s()
         self.departed_at_s.update(dict.fromkeys(names, now))
         self.departed_at_s = {
-            name: gone_s
-            for name, gone_s in self.departed_at_s.items()
-            if now - gone_s < DEPARTED_S and name not in self.live_names
+            name: departed_s
+            for name, departed_s in self.departed_at_s.items()
+            if now - departed_s < DEPARTED_S and name not in self.live_names
         }
 
     async def register(self) -> None:
@@ -114,7 +114,7 @@
             await asyncio.sleep(backoff.choose_delay())
 
     async def write_name(self) -> int | None:
-        """Write the name with a new lease; return the lease, None if that failed."""
+        """Write the name with a new lease; return the lease, or None on failure."""
         lease = await self.store.grant_lease(LEASE_S)
         if isinstance(lease, Err):
             self.log_failure("lease", lease.err_value.reason)
@@ -132,16 +132,16 @@
         return lease.ok_value
 
     async def renew_while_held(self, lease: int) -> None:
-        """Renew a lease until it has ended."""
+        """Renew a lease until it has expired."""
         while True:
             await asyncio.sleep(RENEWAL_S)
             renewed = await self.store.renew_lease(lease)
             if isinstance(renewed, Err):
                 self.log_failure("renew", renewed.err_value.reason)
             elif not renewed.ok_value:
-                self.log_failure("renew", "the lease has ended")
+                self.log_failure("renew", "the lease has expired")
                 return
 
     def log_failure(self, step: str, reason: str) -> None:
-        """Log a call that failed; it is made again."""
+        """Log a failed call, which is retried."""
         logger.bind(step=step, reason=reason).warning("presence_not_renewed")
--- a/ebonyrack/members/presence_test.py
+++ b/ebonyrack/members/presence_test.py
@@ -22,7 +22,7 @@
     return StoreChanges(items, tuple(PREFIX + name for name in deleted), 1, is_complete)
 
 
-async def test_names_that_were_taken_away_count_until_their_proxies_could_be_back(
+async def test_missing_names_count_until_their_proxies_could_have_restarted(
     clock,
 ):
     presence = Presence(None, "a", lambda: None)
--- a/ebonyrack/members/primary_state.py
+++ b/ebonyrack/members/primary_state.py
@@ -1,4 +1,4 @@
-"""What a proxy knows of a group's primary, and the wait for one."""
+"""State of a group's primary as seen by one proxy, and waiting for a primary."""
 
 from __future__ import annotations
 
@@ -22,22 +22,22 @@
 from ebonyrack.placing.primary_outage import decide_wait
 from ebonyrack.placing.primary_tracker import PrimaryTracker
 
-# Those who wait for a primary look again at the latest after this, in seconds.
+# Requests that wait for a primary check again after this at the latest, in seconds.
 RECHECK_INTERVAL_S = 0.1
 
 
 class PrimaryState:
-    """Which upstream of a group leads, and whether it serves.
+    """Which upstream of a group is the primary, and whether it is healthy.
 
     Attributes:
         members: Upstreams by identity.
-        primary_tracker: Which of them is taken for the primary.
+        primary_tracker: Determines the primary.
         position_history: Positions of the primary at known times.
-        changed: Wakes those who wait for a primary.
+        changed: Wakes requests that wait for a primary.
         unknown_since_s: Time since which no primary is known, or None.
-        health: What was found about the primary at the last look.
-        lost_since_s: Time since which the verdict is that it is lost, or None.
-        outage_estimate: How long such times have lasted.
+        health: Health state of the primary at the last assessment.
+        lost_since_s: Time since which the primary counts as lost, or None.
+        outage_estimate: Estimates the length of outages.
     """
 
     __slots__ = (
@@ -68,19 +68,19 @@
 
     @property
     def primary(self) -> Member | None:
-        """The upstream that is taken for the primary, or None."""
-        leader_id = self.primary_tracker.primary_id
-        return self.members.get(leader_id) if leader_id is not None else None
+        """The upstream that is presumed to be the primary, or None."""
+        primary_id = self.primary_tracker.primary_id
+        return self.members.get(primary_id) if primary_id is not None else None
 
     def record_primary_reply(
         self, member: Member, sent_at_s: float, position: LogPosition | None
     ) -> None:
-        """Take an answer that only the primary gives.
+        """Record a reply that only a primary gives.
 
         Args:
             member: The upstream.
-            sent_at_s: Time of sending of the question, on the boot clock.
-            position: Position that the answer named.
+            sent_at_s: Send time of the request, on the boot clock.
+            position: Position in the reply.
         """
         if position is None or member.member_id not in self.members:
             return
@@ -89,14 +89,14 @@
         with self.track_primary_change("answer"):
             self.primary_tracker.confirm(member.member_id, position.term)
         if before != self.primary_tracker.confirmed:
-            # The log of an earlier primary may have ended in commits that the change
-            # took back; no upstream will ever hold those positions.
+            # The log of an earlier primary may have ended in commits that the change of
+            # primary discarded; no upstream will ever reach those positions.
             self.position_history.clear()
         if self.primary_tracker.confirmed == member.member_id:
             self.position_history.add(PositionSample(sent_at_s, position))
 
     def record_not_primary(self, member: Member) -> None:
-        """Take a refusal that only a replica gives."""
+        """Record a rejection that only a replica gives."""
         with self.track_primary_change("refusal"):
             self.primary_tracker.deny(member.member_id)
 
@@ -105,7 +105,7 @@
         return PrimaryChange(self, reason)
 
     def report_primary_change(self, before: str | None, reason: str) -> None:
-        """Log a change of the primary and wake those who wait for one."""
+        """Log a change of the primary and wake requests that wait for one."""
         primary = self.primary_tracker.primary_id
         if primary == before:
             return
@@ -124,7 +124,7 @@
         self.changed.notify()
 
     def observe_primary(self) -> PrimaryObservation:
-        """Return what is seen of the primary now."""
+        """Return the current observations of the primary."""
         primary = self.primary
         now = boot_time_s()
         if primary is None:
@@ -142,9 +142,9 @@
         )
 
     def update_health(self) -> PrimaryHealth:
-        """Judge the primary again; log a change of the verdict."""
-        view = self.observe_primary()
-        health = assess_primary(view)
+        """Assess the primary again and log a change of its health state."""
+        observation = self.observe_primary()
+        health = assess_primary(observation)
         if health is not self.health:
             primary = self.primary_tracker.primary_id
             logger.bind(
@@ -152,17 +152,17 @@
                 upstream=primary,
                 before=self.health,
                 verdict=health,
-                silent_for_s=round(view.silent_for_s, 3),
-                silence_limit_s=round(view.silence_limit_s, 3),
-                refused_for_s=round(view.refused_for_s, 3),
-                stalled_for_s=round(view.stalled_for_s, 3),
+                silent_for_s=round(observation.silent_for_s, 3),
+                silence_limit_s=round(observation.silence_limit_s, 3),
+                refused_for_s=round(observation.refused_for_s, 3),
+                stalled_for_s=round(observation.stalled_for_s, 3),
             ).warning("primary_judged")
             self.health = health
             self.record_outage(health)
         return health
 
     def record_outage(self, health: PrimaryHealth) -> None:
-        """Note the start or the end of a time without a primary that serves."""
+        """Record the start or the end of an outage of the primary."""
         now = boot_time_s()
         is_lost = health not in (PrimaryHealth.SERVING, PrimaryHealth.LEAVING)
         if is_lost and self.lost_since_s is None:
@@ -174,20 +174,20 @@
 
     @property
     def serves_writes(self) -> bool:
-        """Whether the primary is known and taken to be alive."""
+        """Whether the primary is known and presumed to be alive."""
         return self.primary is not None and self.health in (
             PrimaryHealth.SERVING,
             PrimaryHealth.LEAVING,
         )
 
     async def wait_for_primary(self, deadline_s: float) -> Member:
-        """Return the primary; wait for one only if it can come in time.
+        """Return the primary, waiting for one only if it is expected in time.
 
         Args:
-            deadline_s: Monotonic time at which the request gives up.
+            deadline_s: Monotonic time of the request's deadline.
 
         Raises:
-            RequestError: NO_PRIMARY, with the time after which to come back.
+            RequestError: NO_PRIMARY, with a retry-after.
         """
         while not self.serves_writes:
             remaining_s = deadline_s - now_s()
@@ -206,24 +206,24 @@
         return primary
 
     def measure_known_outage(self) -> float:
-        """Return for how long it has been known here that no primary serves."""
+        """Return the seconds since this proxy detected the outage, 0 without one."""
         since_s = self.lost_since_s or self.unknown_since_s
         return boot_time_s() - since_s if since_s is not None else 0.0
 
     def estimate_outage(self) -> float:
-        """Return how long the present gap should last, in seconds."""
-        # A primary that has refused as a replica has a successor to be found.
+        """Return the expected total length of the current outage, in seconds."""
+        # A primary that rejected a request as a replica already has a successor.
         is_searching = self.primary is None and self.health is PrimaryHealth.SERVING
         return EXPECTED_DISCOVERY_S if is_searching else self.outage_estimate.expected_s
 
     def measure_outage(self) -> float:
-        """Return for how long the group has had no primary that serves."""
-        view = self.observe_primary()
+        """Return the seconds without a serving primary, including before detection."""
+        observation = self.observe_primary()
         return max(
-            view.unknown_for_s,
-            view.silent_for_s,
-            view.refused_for_s,
-            view.stalled_for_s,
+            observation.unknown_for_s,
+            observation.silent_for_s,
+            observation.refused_for_s,
+            observation.stalled_for_s,
         )
 
 
@@ -231,9 +231,9 @@
     """Reports a change of the primary that happens inside the context.
 
     Attributes:
-        group: What is known of the group's primary.
+        group: State of the group's primary.
         reason: What may change it, for the log.
-        before: The primary at the start.
+        before: Identity of the primary at the start, or None.
     """
 
     __slots__ = ("group", "reason", "before")
--- a/ebonyrack/members/read_candidates.py
+++ b/ebonyrack/members/read_candidates.py
@@ -1,4 +1,4 @@
-"""The upstreams of a group that may serve a read, as they are known now."""
+"""Selects the upstreams of a group that may serve a read."""
 
 from __future__ import annotations
 
@@ -15,20 +15,21 @@
 from ebonyrack.placing.shedding import WorkClass
 from ebonyrack.placing.shedding import compute_shed_share
 
-# A read prefers others to an upstream that was silent this long, in seconds; usual
+# Reads prefer other upstreams to one that has been silent this long, in seconds; usual
 # statements take a tenth of it.
 READ_SILENCE_LIMIT_S = 0.25
 
 
 @dataclass(frozen=True, slots=True)
 class PlacementRequest:
-    """A read or a transaction that reads, on its way to an upstream.
+    """What placing a read or a read-only transaction depends on.
 
     Attributes:
-        position: Position that it must see; None if only the primary will do.
+        position: Position that it must see; None if it requires the primary.
         caller: Name under which it waits in queues.
-        work_class: Reads with which it gives way.
-        shedding_draw: Random number from 0 to 1 by which a share of a class is chosen.
+        work_class: Class with which it is shed.
+        shedding_draw: Random number from 0 to 1; the read is shed if it is below the
+            shed share of its class.
     """
 
     position: LogPosition | None
@@ -46,7 +47,7 @@
         tried: Upstreams that were tried for it already.
 
     Raises:
-        RequestError: WAIT_TOO_LONG if it gives way at all that are left.
+        RequestError: WAIT_TOO_LONG if it is shed at all remaining upstreams.
     """
     now = boot_time_s()
     group.demand.record(read.work_class, now)
@@ -66,10 +67,10 @@
 
 
 def check_shedding(group: Group, read: PlacementRequest, primary: Member) -> None:
-    """Let a read that needs the primary give way while that is crowded.
+    """Shed a read that requires the primary while that is overloaded.
 
     Raises:
-        RequestError: WAIT_TOO_LONG if it gives way.
+        RequestError: WAIT_TOO_LONG if the read is shed.
     """
     group.demand.record(read.work_class, boot_time_s())
     if is_shed(group, primary, read):
@@ -77,7 +78,7 @@
 
 
 def is_shed(group: Group, member: Member, read: PlacementRequest) -> bool:
-    """Return whether a read gives way to others at an upstream."""
+    """Return whether a read is shed at an upstream."""
     active = group.demand.list_active()
     return read.shedding_draw < compute_shed_share(
         read.work_class, active, estimate_answer_time(member, read.caller)
@@ -85,24 +86,24 @@
 
 
 def estimate_answer_time(member: Member, caller: str) -> float:
-    """Return how long a read takes at an upstream now, in seconds."""
+    """Return the expected time to an answer at an upstream, in seconds."""
     return member.pool.estimate_wait(caller) + member.expected_reply_s
 
 
 def build_overload_error(member: Member, caller: str) -> RequestError:
-    """Build the refusal of a read that gives way, with a time to come back."""
+    """Build the error for a shed read, with a retry-after."""
     answer_s = estimate_answer_time(member, caller)
     return member.pool.build_refusal(
-        ErrorKind.WAIT_TOO_LONG, f"crowded, an answer takes {answer_s:.3f} s"
+        ErrorKind.WAIT_TOO_LONG, f"overloaded, an answer takes {answer_s:.3f} s"
     )
 
 
 def build_candidate(
     group: Group, member: Member, read: PlacementRequest, now: float
 ) -> ReadCandidate:
-    """Return what placing a read needs to know of an upstream."""
+    """Build the candidate for an upstream, as its state is known now."""
     position = read.position
-    lacks = (
+    lacks_position = (
         position is not None
         and member.missing_position is not None
         and member.missing_position <= position
@@ -115,7 +116,9 @@
         is_near=member.entry.data_centre == group.data_centre,
         is_primary=member is group.primary,
         is_reachable=member.is_reachable,
-        is_deprioritized=lacks or is_silent or now < member.deprioritized_until_s,
+        is_deprioritized=lacks_position
+        or is_silent
+        or now < member.deprioritized_until_s,
         is_shed=is_shed(group, member, read),
         latency_s=member.expected_reply_s,
         expected_wait_s=member.pool.estimate_wait(read.caller),
@@ -123,9 +126,9 @@
 
 
 def accepts_new_work(member: Member) -> bool:
-    """Return whether an upstream wants new work, as far as is known.
+    """Return whether an upstream accepts new work, as far as is known.
 
-    One whose entry is missing is used until it counts as gone: all entries lapse at
-    once in an outage of the store.
+    An upstream whose entry is missing is used until it is removed, as all entries may
+    expire at once in an outage of the store.
     """
     return not member.entry.is_leaving
--- a/ebonyrack/members/session_context.py
+++ b/ebonyrack/members/session_context.py
@@ -1,4 +1,4 @@
-"""What a caller has set and prepared in its session."""
+"""Session values and prepared statements of a caller's session."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from dataclasses import field
 from functools import lru_cache
 
-# Callers prepare few shapes, each of them in many sessions.
+# Callers prepare few distinct shapes, each of them in many sessions.
 NAME_CACHE_SIZE = 4096
 
 
@@ -16,7 +16,7 @@
     """A prepared statement.
 
     Attributes:
-        shape: What runs.
+        shape: The statement to execute.
         writes: Whether it writes.
     """
 
@@ -27,7 +27,7 @@
     def upstream_name(self) -> bytes:
         """Name on connections to upstreams, the same for all callers.
 
-        Callers' own names collide, and sharing by shape spares preparing again.
+        Callers' own names collide, and sharing by shape avoids repeated preparation.
         """
         return derive_statement_name(self.shape, self.writes)
 
