--- a/ebonyrack/serving/__init__.py
+++ b/ebonyrack/serving/__init__.py
@@ -1,1 +1,1 @@
-"""Sessions of callers over protocol-neutral requests: reads, writes, transactions."""
+"""Callers' sessions on protocol-neutral requests: reads, writes, transactions."""
--- a/ebonyrack/serving/read_requirement.py
+++ b/ebonyrack/serving/read_requirement.py
@@ -1,4 +1,4 @@
-"""What a read must see, by the consistency of its route."""
+"""The log position that a read requires, by the consistency of its route."""
 
 from __future__ import annotations
 
@@ -17,9 +17,9 @@
     """What a read must see.
 
     Attributes:
-        position: Position that the upstream's log must hold; None if only the
-            primary, proved to lead at the time of the read, will do.
-        age_s: Age of the knowledge on which the position rests, in seconds.
+        position: Position that the upstream's log must hold; None if the read requires
+            an upstream that proves to be the primary at the time of the read.
+        age_s: Age of the newest position sample, in seconds.
     """
 
     position: LogPosition | None
@@ -41,8 +41,8 @@
     Args:
         route: Route of the read.
         group: Its database group.
-        last_commit: Position of the session's own newest commit, or None.
-        arrived_s: Time of the read's arrival, on the boot clock.
+        last_commit: Position of the session's newest commit, or None.
+        arrived_s: Arrival time of the read, on the boot clock.
     """
     return READ_REQUIREMENTS.get(route.consistency)(
         route, group, last_commit, arrived_s
@@ -53,7 +53,7 @@
 def require_primary(
     route: Route, group: Group, last_commit: LogPosition | None, arrived_s: float
 ) -> ReadRequirement:
-    """Reads see every commit that was acknowledged before."""
+    """Require every commit that was acknowledged before the read."""
     return PRIMARY_ONLY
 
 
@@ -61,17 +61,17 @@
 def require_stated_age(
     route: Route, group: Group, last_commit: LogPosition | None, arrived_s: float
 ) -> ReadRequirement:
-    """Reads see every commit that is older than the stated age."""
+    """Require every commit that is older than the route's maximum age."""
     oldest_s = arrived_s - route.maximum_age_s
     position = group.position_history.find_position(oldest_s)
     return ReadRequirement(position, group.position_history.measure_age(arrived_s))
 
 
 @READ_REQUIREMENTS.register(Consistency.READ_YOUR_WRITES)
-def require_own_commits(
+def require_session_commits(
     route: Route, group: Group, last_commit: LogPosition | None, arrived_s: float
 ) -> ReadRequirement:
-    """Reads see the session's own commits, and others' of the stated age."""
+    """Require the session's commits, and others older than the maximum age."""
     requirement = require_stated_age(route, group, last_commit, arrived_s)
     if (
         requirement.position is None
--- a/ebonyrack/serving/reading.py
+++ b/ebonyrack/serving/reading.py
@@ -1,4 +1,4 @@
-"""Serves a read outside a transaction: places it, and again elsewhere if need be."""
+"""Serves a read outside a transaction, trying other upstreams after a failure."""
 
 from __future__ import annotations
 
@@ -25,26 +25,26 @@
 from ebonyrack.serving.statement import read_at_proven_primary
 from ebonyrack.serving.statement import set_up_session
 
-# Every upstream is tried several times; more tries mean a group in trouble.
+# Every upstream is tried several times; a group that needs more attempts is failing.
 MAXIMUM_ATTEMPTS = 16
-# All upstreams lack the position or turn work away: one applies a commit in about
-# this time.
+# Pause after all upstreams lacked the position or rejected work; a replica applies a
+# commit in about this time. Each further pause is twice as long.
 ROUND_PAUSE_S = 0.01
 LONGEST_PAUSE_S = 0.1
 
 
 class ReadPlacement:
-    """One read on its way through the upstreams.
+    """The attempts to serve one read at the upstreams of a group.
 
     Attributes:
         statement: The read.
         requirement: What it must see.
-        read: What placing it needs to know.
+        read: What its placement depends on.
         tried: Upstreams that were tried in this round.
-        queued_s: Seconds for which it waited for the connection that served it.
-        rounds: Rounds through all upstreams that have ended.
-        was_sent: Whether an upstream was working on it.
-        last: The last rejection, or None.
+        queued_s: Seconds for which it waited for its last connection.
+        rounds: Number of completed rounds through all upstreams.
+        was_sent: Whether it was sent to an upstream.
+        last_rejection: The last rejection, or None.
     """
 
     __slots__ = (
@@ -55,7 +55,7 @@
         "queued_s",
         "rounds",
         "was_sent",
-        "last",
+        "last_rejection",
     )
 
     def __init__(self, statement: Statement, requirement: ReadRequirement) -> None:
@@ -66,20 +66,20 @@
         self.queued_s = 0.0
         self.rounds = 0
         self.was_sent = False
-        self.last: Reply | None = None
+        self.last_rejection: Reply | None = None
 
     async def serve(self) -> Reply:
-        """Try upstreams until one answers.
+        """Try upstreams until one serves the read.
 
         Returns:
             The reply, without a rejection.
 
         Raises:
-            RequestError: If none answers within the time of the route.
+            RequestError: If none serves it within the time limit of the route.
         """
         for number in range(MAXIMUM_ATTEMPTS):
             self.statement.check_deadline(self.was_sent)
-            member = await self.choose()
+            member = await self.choose_member()
             reply = await self.try_member(member)
             if reply is None:
                 continue
@@ -89,11 +89,11 @@
             self.record_rejection(member, reply)
         raise self.build_failure()
 
-    async def choose(self) -> Member:
+    async def choose_member(self) -> Member:
         """Return the upstream to try next.
 
         Raises:
-            RequestError: If none can serve it, or it gives way to others.
+            RequestError: If none can serve it, or it is shed.
         """
         group = self.statement.group
         if self.requirement.position is None:
@@ -111,22 +111,22 @@
             order = order_upstreams(group, self.read, self.tried)
         if not order:
             raise RequestError(
-                ErrorKind.NO_UPSTREAM, "no upstream of the group answers"
+                ErrorKind.NO_UPSTREAM, "no upstream of the group replies"
             )
         return group.members[order[0]]
 
-    def continue_elsewhere(self, refusal: RequestError) -> None:
-        """Go on elsewhere after a queue has refused the read, if there is elsewhere.
+    def check_alternatives(self, rejection: RequestError) -> None:
+        """Check that another upstream can be tried after a queue rejected the read.
 
         Raises:
-            RequestError: The refusal, if every other upstream was tried.
+            RequestError: The rejection, if every other upstream was tried.
         """
         others = order_upstreams(self.statement.group, self.read, self.tried)
         if self.requirement.position is None or not others:
-            raise refusal
+            raise rejection
 
     def compute_pause(self) -> float:
-        """Return the pause before the next round, each twice as long as the last."""
+        """Return the pause before the next round, in seconds."""
         pause_s = ROUND_PAUSE_S * 2.0 ** max(0, self.rounds - 1)
         return min(pause_s, LONGEST_PAUSE_S, max(0.0, self.statement.remaining_s))
 
@@ -137,7 +137,7 @@
             Its reply, or None if none came.
 
         Raises:
-            RequestError: If it can't be served within the time of the route.
+            RequestError: If it can't be served within the time limit of the route.
         """
         statement = self.statement
         self.tried.add(member.member_id)
@@ -151,7 +151,7 @@
             return None
         except RequestError as error:
             member.deprioritize()
-            self.continue_elsewhere(error)
+            self.check_alternatives(error)
             return None
         started_s = now_s()
         self.queued_s = started_s - queued_at_s
@@ -162,10 +162,10 @@
             self.record_lost(member, error.reason)
             return None
         except ReplyTimeoutError:
-            # Its reply takes at least as long; else one that has turned slow would be
-            # given up again and again.
+            # The reply takes at least this long. If that were not recorded, an upstream
+            # that has become slow would be abandoned again and again.
             member.record_reply_time(now_s() - started_s)
-            self.record_lost(member, "no reply within what its reply times let expect")
+            self.record_lost(member, "no reply within the limit of its reply times")
             return None
         finally:
             member.pool.release(link)
@@ -175,7 +175,7 @@
         return reply
 
     async def read_at(self, member: Member, link: UpstreamLink) -> Reply:
-        """Set the connection up and read."""
+        """Set up the session on the connection and run the read."""
         await set_up_session(self.statement, link)
         limit_s = min(self.statement.remaining_s, member.silence_limit_s)
         if self.requirement.position is None:
@@ -185,8 +185,8 @@
         return reply
 
     def record_rejection(self, member: Member, reply: Reply) -> None:
-        """Learn from a rejection; the read goes elsewhere."""
-        self.last = reply
+        """Record and log a rejection by an upstream."""
+        self.last_rejection = reply
         member.record_rejection(reply, self.requirement.position)
         log_failure(
             "read_rejected",
@@ -199,7 +199,7 @@
         )
 
     def record_lost(self, member: Member, reason: str) -> None:
-        """Learn from a lost connection; the read goes elsewhere."""
+        """Record and log a lost connection to an upstream."""
         member.deprioritize()
         log_failure(
             "read_upstream_lost",
@@ -210,7 +210,7 @@
         )
 
     def log_placed(self, member: Member, tries: int) -> None:
-        """Log and count where the read was served."""
+        """Log the placement of the served read and count it."""
         role = "primary" if member is self.statement.group.primary else "replica"
         metrics.placements.add(1, {"group": self.statement.group.name, "role": role})
         elapsed_s = self.statement.elapsed_s
@@ -230,12 +230,24 @@
         )
 
     def build_failure(self) -> RequestError:
-        """Build the error after the last try; reads keep nothing."""
-        if self.last is not None and self.last.rejection is RejectionKind.FAILED:
-            return RequestError(ErrorKind.STATEMENT_FAILED, self.last.detail)
-        if self.last is not None and self.last.rejection is RejectionKind.TIMED_OUT:
-            return RequestError(ErrorKind.STATEMENT_TIMED_OUT, self.last.detail)
-        reason = self.last.detail if self.last is not None else "connections were lost"
+        """Build the error after the last attempt."""
+        if (
+            self.last_rejection is not None
+            and self.last_rejection.rejection is RejectionKind.FAILED
+        ):
+            return RequestError(ErrorKind.STATEMENT_FAILED, self.last_rejection.detail)
+        if (
+            self.last_rejection is not None
+            and self.last_rejection.rejection is RejectionKind.TIMED_OUT
+        ):
+            return RequestError(
+                ErrorKind.STATEMENT_TIMED_OUT, self.last_rejection.detail
+            )
+        reason = (
+            self.last_rejection.detail
+            if self.last_rejection is not None
+            else "connections were lost"
+        )
         return RequestError(ErrorKind.NO_UPSTREAM, reason)
 
 
@@ -244,7 +256,7 @@
 
     Args:
         statement: The read.
-        last_commit: Position of the session's own newest commit, or None.
+        last_commit: Position of the session's newest commit, or None.
 
     Returns:
         The reply, without a rejection.
--- a/ebonyrack/serving/services.py
+++ b/ebonyrack/serving/services.py
@@ -1,4 +1,4 @@
-"""What the sessions of callers share."""
+"""State of the proxy that all callers' sessions share."""
 
 from __future__ import annotations
 
@@ -20,9 +20,9 @@
 
     Attributes:
         settings: Settings of the process.
-        routes: The routes in force.
+        routes: Routes in force.
         groups: Database groups by name.
-        drain: Life cycle of the proxy.
+        drain: Life cycle state of the proxy.
     """
 
     settings: RouteProxySettings
@@ -31,13 +31,13 @@
     drain: Drain = field(default_factory=Drain)
 
     def find_route(self, database: bytes) -> Route:
-        """Return the route of a database in the version in force.
+        """Return the route of a database.
 
         Args:
             database: Name that the caller gave.
 
         Raises:
-            RequestError: UNKNOWN_GROUP if there is none.
+            RequestError: UNKNOWN_GROUP if the routes in force have none.
         """
         route = self.routes.table.routes.get(database)
         if route is None:
@@ -50,7 +50,7 @@
         """Return the group that serves a route.
 
         Raises:
-            RequestError: NO_UPSTREAM if the document names no such group.
+            RequestError: NO_UPSTREAM if the document has no such group.
         """
         group = self.groups.get(route.group)
         if group is None:
--- a/ebonyrack/serving/session.py
+++ b/ebonyrack/serving/session.py
@@ -1,4 +1,4 @@
-"""A caller's session: answers its requests one after the other."""
+"""A caller's session, which serves one request at a time."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 RequestHandler = Callable[["Session", Request], Awaitable[Answer]]
 
-# From the kind of a request to what serves it.
+# Handler by kind of request.
 REQUEST_HANDLERS: Registry[RequestHandler] = Registry("kind of request")
 
 
@@ -37,10 +37,10 @@
     """One caller's session.
 
     Attributes:
-        services: What all sessions share.
-        database: Name of the database that the caller asked for.
-        context: Values and prepared statements that the caller has set.
-        last_commit: Group and position of the session's own newest commit, or None.
+        services: Parts of the proxy that all sessions share.
+        database: Name of the database that the caller requested.
+        context: The caller's session values and prepared statements.
+        last_commit: Group and position of the session's newest commit, or None.
         transaction: The open transaction, or None.
     """
 
@@ -55,7 +55,7 @@
 
     @property
     def state(self) -> TransactionState:
-        """State that the caller is told."""
+        """Transaction state as reported to the caller."""
         if self.transaction is None:
             return TransactionState.IDLE
         return self.transaction.state
@@ -67,13 +67,13 @@
             request: The request.
 
         Returns:
-            The answer, also to one that fails.
+            The answer, also to a request that fails.
         """
         started_s = now_s()
         try:
-            serve = REQUEST_HANDLERS.get(request.kind)
+            handle = REQUEST_HANDLERS.get(request.kind)
             self.check_state(request.kind)
-            answer = await serve(self, request)
+            answer = await handle(self, request)
         except RequestError as error:
             if self.transaction is not None:
                 self.transaction.fail()
@@ -83,7 +83,7 @@
         return answer
 
     def check_state(self, kind: RequestKind) -> None:
-        """Refuse what a failed or a missing transaction doesn't allow.
+        """Reject a request that the state of the transaction doesn't allow.
 
         Raises:
             RequestError: TRANSACTION_FAILED or BAD_REQUEST.
@@ -98,7 +98,7 @@
             raise RequestError(ErrorKind.TRANSACTION_FAILED)
 
     def record_answer(self, request: Request, answer: Answer, elapsed_s: float) -> None:
-        """Count an answer, and log one that failed."""
+        """Update the metrics with an answer, and log a failed request."""
         outcome = "served" if answer.error is None else str(answer.error.kind)
         metrics.requests.add(1, {"kind": str(request.kind), "outcome": outcome})
         metrics.answer_time.record(elapsed_s, {"kind": str(request.kind)})
@@ -124,7 +124,7 @@
         return self.last_commit[1]
 
     def record_commit(self, group: str, reply: Reply) -> None:
-        """Keep the position of a commit that the caller is told of."""
+        """Record the position of a commit that is acknowledged to the caller."""
         if reply.position is None:
             return
         known = self.find_last_commit(group)
@@ -132,14 +132,14 @@
             self.last_commit = (group, reply.position)
 
     def is_idle_too_long(self, limit_s: float) -> bool:
-        """Return whether a transaction has waited for its caller too long."""
+        """Return whether a transaction has been idle for too long."""
         transaction = self.transaction
         if transaction is None or transaction.is_failed:
             return False
         return now_s() - transaction.used_at_s > limit_s
 
     def end_transaction(self, reason: str) -> None:
-        """Roll the open transaction back; the next request is told so."""
+        """Roll back the open transaction; the next request fails because of it."""
         if self.transaction is not None and not self.transaction.is_failed:
             self.transaction.fail()
             logger.bind(
@@ -147,7 +147,7 @@
             ).info("transaction_ended")
 
     def close(self) -> None:
-        """Give up what the session holds."""
+        """Release the connection that the session holds."""
         if self.transaction is not None:
             self.transaction.release()
             self.transaction = None
@@ -162,7 +162,7 @@
 @REQUEST_HANDLERS.register(RequestKind.WRITE)
 @REQUEST_HANDLERS.register(RequestKind.EXECUTE)
 async def serve_statement(session: Session, request: Request) -> Answer:
-    """Serve a read or write."""
+    """Serve a read or a write."""
     transaction = session.transaction
     if transaction is not None:
         statement = build_statement(
@@ -183,7 +183,7 @@
 @REQUEST_HANDLERS.register(RequestKind.BEGIN)
 @REQUEST_HANDLERS.register(RequestKind.BEGIN_READ_ONLY)
 async def serve_begin(session: Session, request: Request) -> Answer:
-    """Begin a transaction; upstreams hear of it with its first statement."""
+    """Begin a transaction, which is sent to an upstream with its first statement."""
     route = session.services.find_route(session.database)
     group = session.services.find_group(route)
     is_read_only = request.kind is RequestKind.BEGIN_READ_ONLY
@@ -197,7 +197,7 @@
 
 @REQUEST_HANDLERS.register(RequestKind.COMMIT)
 async def serve_commit(session: Session, request: Request) -> Answer:
-    """Commit the transaction; one that failed is rolled back."""
+    """Commit the transaction; a failed one is rolled back."""
     transaction = session.transaction
     assert transaction is not None
     session.transaction = None
@@ -217,21 +217,21 @@
 
 @REQUEST_HANDLERS.register(RequestKind.ROLLBACK)
 async def serve_rollback(session: Session, request: Request) -> Answer:
-    """Roll the transaction back."""
+    """Roll back the transaction."""
     session.close()
     return Answer(session.state)
 
 
 @REQUEST_HANDLERS.register(RequestKind.SET)
 async def serve_set(session: Session, request: Request) -> Answer:
-    """Keep a session value; connections get it before they are used."""
+    """Store a session value, which is set on connections before their use."""
     session.context.values[request.name] = request.argument
     return Answer(session.state)
 
 
 @REQUEST_HANDLERS.register(RequestKind.PREPARE)
 async def serve_prepare(session: Session, request: Request) -> Answer:
-    """Keep a prepared statement; connections get it before it is executed."""
+    """Store a statement, which is prepared on connections before its execution."""
     session.context.prepared[request.name] = PreparedStatement(
         request.argument, request.writes
     )
@@ -240,6 +240,6 @@
 
 @REQUEST_HANDLERS.register(RequestKind.CLOSE)
 async def serve_close(session: Session, request: Request) -> Answer:
-    """Forget a prepared statement; one that isn't known is no error."""
+    """Remove a prepared statement; an unknown name is no error."""
     session.context.prepared.pop(request.name, None)
     return Answer(session.state)
--- a/ebonyrack/serving/statement.py
+++ b/ebonyrack/serving/statement.py
@@ -1,4 +1,4 @@
-"""Runs one statement on one upstream, with the caller's session set up before."""
+"""A caller's statement with its deadlines, and the steps to run it on an upstream."""
 
 from __future__ import annotations
 
@@ -27,8 +27,8 @@
 from ebonyrack.routes.route import Route
 
 SETUP_TIMEOUT_S = 0.5
-# A connection is opened within some ten milliseconds, by an upstream whose slots are
-# taken within a hundred.
+# Opening a connection takes some ten milliseconds, and a hundred while all slots of the
+# upstream are in use.
 MINIMUM_CONNECTION_WAIT_S = 0.1
 
 write_numbers = itertools.count()
@@ -36,20 +36,20 @@
 
 @dataclass(slots=True)
 class Statement:
-    """One statement of a caller, on its way.
+    """One statement of a caller that is being served.
 
     Attributes:
-        request: The statement, with the name that upstreams know.
+        request: The statement, with the name of prepared statements at upstreams.
         prepared: The prepared statement that it executes, or None.
         route: Route of the session.
         group: Its database group.
-        context: What the caller has set and prepared.
-        arrived_s: Time of arrival, on the boot clock.
-        deadline_s: Monotonic time at which the route's time for it ends.
+        context: The caller's session values and prepared statements.
+        arrived_s: Arrival time, on the boot clock.
+        deadline_s: Monotonic time at which the route's time limit ends.
         queue_deadline_s: Monotonic time up to which it may wait for a connection. A
-            caller that is refused by then has time to try another proxy, whose
-            connections may be free; after its target an answer is worth little.
-        shedding_draw: Random number by which it is chosen to give way, or not.
+            caller that is rejected by then has time to try another proxy, whose
+            connections may be free; an answer after its target is worth little.
+        shedding_draw: Random number that decides whether the statement is shed.
     """
 
     request: Request
@@ -69,22 +69,22 @@
 
     @property
     def connection_deadline_s(self) -> float:
-        """Monotonic time up to which the next try may wait for a connection.
+        """Monotonic time up to which the next attempt may wait for a connection.
 
-        One that has waited for a primary or for a lost reply gets the time to open a
-        connection too.
+        A statement that has waited for a primary or for a lost reply still gets the
+        time to open a connection.
         """
         earliest_s = now_s() + MINIMUM_CONNECTION_WAIT_S
         return min(self.deadline_s, max(self.queue_deadline_s, earliest_s))
 
     @property
     def remaining_s(self) -> float:
-        """Seconds that the route still allows."""
+        """Remaining seconds until the deadline."""
         return self.deadline_s - now_s()
 
     @property
     def elapsed_s(self) -> float:
-        """Seconds since it arrived."""
+        """Seconds since its arrival."""
         return boot_time_s() - self.arrived_s
 
     @property
@@ -95,7 +95,7 @@
         return self.request.kind is RequestKind.WRITE
 
     def build_placement_request(self, position: LogPosition | None) -> PlacementRequest:
-        """Return what placing it needs to know.
+        """Return what its placement depends on.
 
         Args:
             position: Position that it must see, or None.
@@ -105,31 +105,33 @@
         return PlacementRequest(position, self.caller, work_class, self.shedding_draw)
 
     def check_deadline(self, was_sent: bool) -> None:
-        """End a statement whose time is over.
+        """Fail a statement whose deadline has passed.
 
         Args:
-            was_sent: Whether an upstream was working on it.
+            was_sent: Whether it was sent to an upstream.
 
         Raises:
-            RequestError: If its time is over.
+            RequestError: If its deadline has passed.
         """
         if self.remaining_s > 0:
             return
         if was_sent:
             raise RequestError(ErrorKind.STATEMENT_TIMED_OUT)
-        raise RequestError(ErrorKind.WAIT_TOO_LONG, "the time of the route is over")
+        raise RequestError(
+            ErrorKind.WAIT_TOO_LONG, "the time limit of the route is over"
+        )
 
 
 def build_statement(
     request: Request, route: Route, group: Group, context: SessionContext
 ) -> Statement:
-    """Build the run of a statement that has just arrived.
+    """Build a statement from a request that has just arrived.
 
     Args:
-        request: The caller's statement.
+        request: The caller's request.
         route: Route of the session.
         group: Its database group.
-        context: What the caller has set and prepared.
+        context: The caller's session values and prepared statements.
 
     Raises:
         RequestError: UNKNOWN_STATEMENT if it executes a name that isn't prepared.
@@ -161,17 +163,17 @@
 
 
 async def set_up_session(statement: Statement, link: UpstreamLink) -> None:
-    """Bring a connection to the caller's session before its statement is sent."""
+    """Set up the caller's session on a connection before its statement is sent."""
     await link.set_up_session(statement.context, statement.prepared, SETUP_TIMEOUT_S)
 
 
 async def read_at_proven_primary(
     statement: Statement, member: Member, link: UpstreamLink, timeout_s: float
 ) -> Reply:
-    """Read at an upstream that must be the primary while it reads.
+    """Read at an upstream that must be the primary at the time of the read.
 
-    The read runs in a plain transaction, which an upstream that has lost the lead
-    refuses; all goes in one send, so the proof costs no round trip.
+    The read runs in a read-write transaction, which an upstream that is no longer the
+    primary rejects. All requests go in one send, so the proof costs no round trip.
 
     Args:
         statement: The read.
@@ -180,7 +182,7 @@
         timeout_s: Seconds to wait.
 
     Returns:
-        The reply to the read; a refusal to lead in place of it.
+        The reply to the read, or to BEGIN if that is rejected.
 
     Raises:
         UpstreamLostError: If the connection broke.
@@ -197,13 +199,13 @@
 def record_begin_reply(
     group: Group, member: Member, began: Reply, sent_at_s: float
 ) -> None:
-    """Take what the answer to a plain transaction's start tells of the lead.
+    """Record what the reply to a read-write BEGIN proves about the primary.
 
     Args:
         group: The group.
         member: The upstream.
-        began: Its answer.
-        sent_at_s: Time of sending, on the boot clock.
+        began: Its reply.
+        sent_at_s: Send time of BEGIN, on the boot clock.
     """
     if began.rejection is None:
         group.record_primary_reply(member, sent_at_s, began.position)
@@ -218,7 +220,7 @@
     request: Request,
     timeout_s: float,
 ) -> Reply:
-    """Send a lone write or the commit of a transaction that wrote.
+    """Send a write outside a transaction, or the commit of one that has written.
 
     Args:
         group: The group.
--- a/ebonyrack/serving/transaction.py
+++ b/ebonyrack/serving/transaction.py
@@ -1,4 +1,4 @@
-"""A caller's transaction: begun at an upstream with its first statement."""
+"""A caller's transaction, which begins at an upstream with its first statement."""
 
 from __future__ import annotations
 
@@ -32,12 +32,11 @@
 from ebonyrack.serving.statement import send_commit
 from ebonyrack.serving.statement import set_up_session
 
-# A first statement that was not run is tried elsewhere this often.
+# Attempts at a first statement that was not run, at any of the upstreams.
 MAXIMUM_ATTEMPTS = 8
-# Before the second try; each later pause is twice as long.
+# Pause before the second attempt; each later pause is twice as long.
 RETRY_PAUSE_S = 0.01
-# A statement that found all slots taken, in a transaction that stays open, is sent
-# again after this.
+# Pause before resending a statement of an open transaction that found all slots in use.
 BUSY_PAUSE_S = 0.02
 ROLLBACK_TIMEOUT_S = 0.5
 
@@ -45,14 +44,15 @@
 class CallerTransaction:
     """One transaction of a caller.
 
-    It holds no connection until its first statement, so that callers who begin and
-    think cost nothing.
+    It holds no connection until its first statement, so that callers who are idle after
+    BEGIN cost nothing.
 
     Attributes:
         route: Route at its beginning.
         group: Its database group.
         is_read_only: Whether it may not write.
-        requirement: What its reads must see; only a read-only one may be at a replica.
+        requirement: What its reads must see; only a read-only transaction may run on a
+            replica.
         member: The upstream on which it runs, once begun.
         link: Connection that it holds, or None.
         has_written: Whether a write was sent.
@@ -95,16 +95,16 @@
 
     @property
     def state(self) -> TransactionState:
-        """State that the caller is told."""
+        """Transaction state as reported to the caller."""
         return TransactionState.FAILED if self.is_failed else TransactionState.OPEN
 
     def fail(self) -> None:
-        """Give the connection up; the transaction can only be rolled back."""
+        """Release the connection; the transaction can only be rolled back."""
         self.is_failed = True
         self.release()
 
     def release(self) -> None:
-        """Give the connection back; an open transaction is rolled back first."""
+        """Release the connection; an open transaction is rolled back first."""
         link, member = self.link, self.member
         self.link = None
         if link is None or member is None:
@@ -126,7 +126,7 @@
             The reply, without a rejection.
 
         Raises:
-            RequestError: If it failed; the transaction keeps nothing then.
+            RequestError: If it failed; the transaction is rolled back then.
         """
         if statement.writes and self.is_read_only:
             raise RequestError(ErrorKind.READ_ONLY_TRANSACTION)
@@ -162,8 +162,8 @@
                 continue
             except RequestError:
                 member.deprioritize()
-                is_elsewhere = len(tried) < len(self.group.members)
-                if self.requirement.position is None or not is_elsewhere:
+                has_alternative = len(tried) < len(self.group.members)
+                if self.requirement.position is None or not has_alternative:
                     raise
                 continue
             self.member, self.link = member, link
@@ -197,17 +197,17 @@
             order = order_upstreams(self.group, read, tried)
         if not order:
             raise RequestError(
-                ErrorKind.NO_UPSTREAM, "no upstream of the group answers"
+                ErrorKind.NO_UPSTREAM, "no upstream of the group replies"
             )
         return self.group.members[order[0]]
 
     async def begin_at(
         self, statement: Statement, member: Member, link: UpstreamLink
     ) -> Reply:
-        """Begin, wait until that is done, and run the first statement.
+        """Begin, wait for the reply, and run the first statement.
 
-        Sent along, the statement would run outside the transaction where the
-        upstream refuses to begin.
+        If both were sent together and the upstream rejected BEGIN, the statement would
+        run outside the transaction.
         """
         await set_up_session(statement, link)
         begin = BEGIN_REQUEST
@@ -235,7 +235,7 @@
             raise RequestError(ErrorKind.UPSTREAM_LOST, error.reason) from error
         except ReplyTimeoutError:
             raise RequestError(
-                ErrorKind.UPSTREAM_LOST, "rolled back: no answer in time"
+                ErrorKind.UPSTREAM_LOST, "rolled back: no reply in time"
             ) from None
 
     async def commit(self, statement: Statement) -> Reply:
@@ -248,11 +248,11 @@
             The reply, without a rejection.
 
         Raises:
-            RequestError: UPSTREAM_LOST if nothing is kept, OUTCOME_UNKNOWN if that
-                isn't known.
+            RequestError: UPSTREAM_LOST if nothing was committed, OUTCOME_UNKNOWN if
+                that isn't known.
         """
         if self.link is None:
-            # Nothing was run yet, but the caller needs an upstream's own answer.
+            # Nothing was run yet, but the caller needs the reply of an upstream.
             began = await self.begin(statement)
             if began.rejection is not None:
                 raise build_failure(began)
@@ -263,7 +263,7 @@
         except UpstreamLostError as error:
             raise self.build_outcome_unknown(statement, error.reason) from error
         except ReplyTimeoutError:
-            raise self.build_outcome_unknown(statement, "no answer in time") from None
+            raise self.build_outcome_unknown(statement, "no reply in time") from None
         if reply.rejection is None:
             return reply
         if reply.rejection is RejectionKind.READ_ONLY:
@@ -275,7 +275,7 @@
         raise RequestError(ErrorKind.OUTCOME_UNKNOWN, reply.detail)
 
     async def send(self, statement: Statement, link: UpstreamLink) -> Reply:
-        """Send a statement, again while the upstream has no slot for it."""
+        """Send a statement, retrying while the upstream has no free slot."""
         is_commit = statement.request.kind is RequestKind.COMMIT
         while True:
             if is_commit and self.has_written:
@@ -301,7 +301,7 @@
             await asyncio.sleep(BUSY_PAUSE_S)
 
     def build_outcome_unknown(self, statement: Statement, reason: str) -> RequestError:
-        """Build the answer to a commit without a reply."""
+        """Log a commit without a reply and build its error."""
         log_failure(
             "commit_outcome_unknown",
             request=statement.request.log_id,
@@ -317,7 +317,7 @@
     def record_begin_rejection(
         self, statement: Statement, member: Member, reply: Reply
     ) -> None:
-        """Learn from a refusal to begin."""
+        """Record and log a rejection of BEGIN."""
         member.record_rejection(reply, self.requirement.position)
         log_failure(
             "transaction_not_begun",
@@ -329,12 +329,12 @@
         )
 
 
-# Rollbacks that run behind a caller's back; a task needs somebody who holds it.
+# Rollbacks that run in the background; asyncio keeps only weak references to tasks.
 PENDING_ROLLBACKS: set[asyncio.Task[None]] = set()
 
 
 async def roll_back(member: Member, link: UpstreamLink) -> None:
-    """Roll a transaction back and give its connection to the pool."""
+    """Roll back a transaction and release its connection to the pool."""
     try:
         await link.exchange([ROLLBACK_REQUEST], ROLLBACK_TIMEOUT_S)
     except (UpstreamLostError, ReplyTimeoutError) as error:
@@ -346,8 +346,8 @@
 
 
 def build_failure(reply: Reply) -> RequestError:
-    """Build the answer to a statement that failed inside a transaction.
+    """Build the error for a statement that failed inside a transaction.
 
-    Nothing of the transaction is kept: it is rolled back, and was not committed.
+    The transaction is rolled back, so nothing of it is committed.
     """
     return RequestError(ErrorKind.UPSTREAM_LOST, f"rolled back: {reply.detail}")
--- a/ebonyrack/serving/writing.py
+++ b/ebonyrack/serving/writing.py
@@ -1,4 +1,4 @@
-"""Serves a write outside a transaction: at the primary, run once."""
+"""Serves a write outside a transaction at the primary, at most once."""
 
 from __future__ import annotations
 
@@ -17,16 +17,16 @@
 from ebonyrack.serving.statement import send_commit
 from ebonyrack.serving.statement import set_up_session
 
-# A write that was not run is tried again; more tries mean a group in trouble.
+# Attempts at a write that was not run; a group that needs more is failing.
 MAXIMUM_ATTEMPTS = 8
-# Before the second try; each later pause is twice as long.
+# Pause before the second attempt; each later pause is twice as long.
 RETRY_PAUSE_S = 0.01
 
 
 async def serve_write(statement: Statement) -> Reply:
-    """Run a write once, at the primary.
+    """Run a write at the primary, at most once.
 
-    Only what surely was not run is tried again.
+    Only a write that certainly was not run is retried.
 
     Args:
         statement: The write.
@@ -68,10 +68,10 @@
 
 
 async def try_primary(statement: Statement, member: Member) -> Reply | str:
-    """Send the write to an upstream.
+    """Attempt the write at an upstream.
 
     Returns:
-        Its reply; a text if the write surely was not sent.
+        Its reply, or a reason if the write certainly was not sent.
 
     Raises:
         RequestError: If its outcome is not known.
@@ -101,7 +101,7 @@
         if not is_sent:
             return "the connection could not be set up"
         raise RequestError(
-            ErrorKind.STATEMENT_TIMED_OUT, f"{member.member_id} did not answer"
+            ErrorKind.STATEMENT_TIMED_OUT, f"{member.member_id} did not reply"
         ) from None
     finally:
         member.pool.release(link)
@@ -110,7 +110,7 @@
 def build_outcome_unknown(
     statement: Statement, member: Member, reason: str
 ) -> RequestError:
-    """Build the answer to a write whose outcome is not known."""
+    """Log a write whose outcome is not known and build its error."""
     log_failure(
         "write_outcome_unknown",
         request=statement.request.log_id,
@@ -124,14 +124,14 @@
 
 
 def build_write_failure(reply: Reply) -> RequestError:
-    """Build the answer to a write that the upstream ran without success."""
+    """Build the error for a write that the upstream ran without success."""
     if reply.rejection is RejectionKind.TIMED_OUT:
         return RequestError(ErrorKind.STATEMENT_TIMED_OUT, reply.detail)
     return RequestError(ErrorKind.STATEMENT_FAILED, reply.detail)
 
 
 def record_not_run(statement: Statement, member: Member, reply: Reply) -> None:
-    """Learn from a refusal to run a write."""
+    """Record and log a rejection of a write that was not run."""
     if reply.rejection is RejectionKind.READ_ONLY:
         statement.group.record_not_primary(member)
     elif reply.rejection is RejectionKind.BUSY:
