--- a/ebonyrack/requests/__init__.py
+++ b/ebonyrack/requests/__init__.py
@@ -1,1 +1,1 @@
-"""Requests and answers, apart from the protocols that carry them."""
+"""Requests and replies, independent of the protocols that carry them."""
--- a/ebonyrack/requests/codec.py
+++ b/ebonyrack/requests/codec.py
@@ -1,4 +1,4 @@
-"""Interfaces of the protocols on both sides of a proxy, and their registries."""
+"""Interfaces of the protocols on both sides of the proxy, and their registries."""
 
 from __future__ import annotations
 
@@ -18,12 +18,12 @@
 
 @dataclass(frozen=True, slots=True)
 class BadRequest:
-    """A request that can't be understood.
+    """A request that can't be parsed.
 
     Attributes:
         request_id: The caller's id of it, as far as it could be read.
         reason: What is wrong with it.
-        ends_session: Whether the rest of the stream can't be understood either.
+        ends_session: Whether the rest of the stream can't be parsed either.
     """
 
     request_id: bytes
@@ -43,10 +43,10 @@
         """Read the next request; None at the end of the session."""
 
     def encode_started(self) -> bytes:
-        """Return the answer to a session that was opened."""
+        """Return the answer to the start of a session that is opened."""
 
     def encode_refusal(self, error: RequestError) -> bytes:
-        """Return the answer to a session that is not opened."""
+        """Return the answer to the start of a session that is rejected."""
 
     def encode_answer(self, answer: Answer) -> bytes:
         """Return the answer to a request."""
@@ -56,16 +56,16 @@
     """Protocol towards upstreams."""
 
     def encode_start(self, group: str, member_id: str) -> bytes:
-        """Return the opening of a session with one upstream of a group."""
+        """Return the start of a session with one upstream of a group."""
 
     def encode_request(self, request: Request) -> bytes:
-        """Return a statement."""
+        """Return an encoded request."""
 
     async def read_reply(self, stream: LineStream) -> Reply:
-        """Read the answer to the oldest statement without one."""
+        """Read the reply to the oldest request without one."""
 
     def read_status(self, reply: Reply) -> Result[UpstreamStatus, str]:
-        """Read what an upstream says of its part in the group."""
+        """Read an upstream's status from a reply."""
 
 
 CALLER_CODECS: Registry[type[CallerCodec]] = Registry("protocol of callers")
--- a/ebonyrack/requests/reply.py
+++ b/ebonyrack/requests/reply.py
@@ -1,4 +1,4 @@
-"""What an upstream answers to a statement, and what a caller is answered."""
+"""Replies of upstreams to requests, and answers to callers."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class TransactionState(StrEnum):
-    """State of a session after an answer."""
+    """Transaction state of a session after a reply."""
 
     IDLE = "idle"
     OPEN = "open"
@@ -19,7 +19,7 @@
 
 
 class RejectionKind(StrEnum):
-    """Why an upstream did not do what a statement asks for."""
+    """Reason for which an upstream rejected a request."""
 
     BUSY = "busy"
     LAGGING = "lagging"
@@ -33,7 +33,7 @@
 
     @property
     def is_not_run(self) -> bool:
-        """Whether the upstream promises that nothing of the statement ran."""
+        """Whether the upstream guarantees that nothing of the request ran."""
         return self in NOT_RUN
 
 
@@ -51,15 +51,15 @@
 
 @dataclass(slots=True)
 class Reply:
-    """An upstream's whole answer to one statement.
+    """An upstream's complete reply to one request.
 
     Attributes:
-        rows: Payload of each row, as the bytes that came.
+        rows: Payload of each row, as the bytes received.
         signature: The upstream's mark on a success; None after a rejection.
-        rejection: Why it was rejected, or None.
+        rejection: Reason of a rejection, or None.
         detail: Text of the rejection.
         state: State of the upstream's session afterwards.
-        position: Position of the upstream's log, or None if it named none.
+        position: Position of the upstream's log, or None if it reported none.
     """
 
     rows: list[bytes] = field(default_factory=list)
@@ -72,16 +72,16 @@
 
 @dataclass(frozen=True, slots=True)
 class UpstreamStatus:
-    """What an upstream says of its part in the group.
+    """Status that an upstream reports of itself.
 
     Attributes:
         is_primary: Whether it sees itself as the primary.
         term: Newest term that it knows.
         received: Position up to which it has received the log.
         paused_term: Term below which it receives nothing; 0 without a pause.
-        lag_s: How far its applied position is behind, in seconds.
-        busy_slots: Slots in use.
-        connections: Open connections of all proxies.
+        lag_s: Replication lag of its applied position, in seconds.
+        busy_slots: Number of slots in use.
+        connections: Number of open connections from all proxies.
     """
 
     is_primary: bool
@@ -95,12 +95,12 @@
 
 @dataclass(slots=True)
 class Answer:
-    """What a caller is answered to one request.
+    """Answer to one request of a caller.
 
     Attributes:
         rows: Payload of each row.
-        signature: The upstream's mark; None if the proxy answers by itself.
-        error: Why the request ended without success, or None.
+        signature: The upstream's mark; None if the proxy itself answers.
+        error: Error with which the request failed, or None.
         state: State of the caller's session.
     """
 
--- a/ebonyrack/requests/request.py
+++ b/ebonyrack/requests/request.py
@@ -1,4 +1,4 @@
-"""One statement that a caller sends or that a proxy sends to an upstream."""
+"""Requests of callers to a proxy and of a proxy to upstreams."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class RequestKind(StrEnum):
-    """What a statement asks for."""
+    """Kind of request."""
 
     BEGIN = "begin"
     BEGIN_READ_ONLY = "begin_read_only"
@@ -22,7 +22,7 @@
     PREPARE = "prepare"
     EXECUTE = "execute"
     CLOSE = "close"
-    # The rest is sent by proxies only.
+    # Only proxies send the following kinds.
     DISCARD = "discard"
     STATUS = "status"
     PAUSE = "pause"
@@ -31,14 +31,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Request:
-    """One statement.
+    """One request.
 
     Attributes:
-        kind: What it asks for.
-        request_id: The caller's id; None for a statement of the proxy's own.
-        text: The statement as the caller sent it, passed on unchanged.
+        kind: Kind of request.
+        request_id: The caller's id; None for a request that the proxy itself makes.
+        text: The statement as sent by the caller, forwarded unchanged.
         name: Name of a session value or prepared statement.
-        argument: Value, shape, arguments or term, as the kind needs it.
+        argument: Value, shape, arguments or term, depending on the kind.
         writes: Whether a prepared statement writes.
         minimum_position: Position that the upstream's log must hold, or None.
     """
@@ -57,7 +57,7 @@
         return (self.request_id or b"-").decode("ascii", "replace")
 
     def with_position(self, position: LogPosition | None) -> Request:
-        """Return the same statement with a position that the log must hold."""
+        """Return the same request with a position that the log must hold."""
         return replace(self, minimum_position=position)
 
 
@@ -69,5 +69,5 @@
 
 
 def build_pause_request(term: int) -> Request:
-    """Build the order to a replica to receive nothing of terms below one."""
+    """Build the request to a replica to receive nothing of terms below a given one."""
     return Request(RequestKind.PAUSE, argument=str(term).encode())
