--- a/ebonyrack/routes/__init__.py
+++ b/ebonyrack/routes/__init__.py
@@ -1,1 +1,1 @@
-"""Which database leads to which group, and what its callers may expect."""
+"""Routes from databases to groups, and the versions of them in force."""
--- a/ebonyrack/routes/route.py
+++ b/ebonyrack/routes/route.py
@@ -17,17 +17,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Route:
-    """How the callers of one database are served.
+    """Settings for the callers of one database.
 
     Attributes:
-        database: Name by which callers ask for it.
+        database: Name by which callers request it.
         group: Database group that serves it.
         consistency: What its reads must see.
-        statement_timeout_s: Longest time of one statement, in seconds.
-        target_latency_s: Time in which a whole operation should end, in seconds.
+        statement_timeout_s: Time limit of one statement, in seconds.
+        target_latency_s: Latency target of a whole operation, in seconds.
         priority: 0 is served first.
-        maximum_age_s: Commits younger than this may be missing from a read, where
-            the consistency allows that, in seconds.
+        maximum_age_s: Maximum staleness of reads in seconds, where the consistency
+            allows staleness.
     """
 
     database: bytes
@@ -41,12 +41,12 @@
 
 @dataclass(frozen=True, slots=True)
 class GroupLimits:
-    """What the operators say of a database group.
+    """The operators' settings of a database group.
 
     Attributes:
         name: Name of the group.
-        maximum_connections: Connections that each upstream accepts from everyone.
-        acknowledging_replicas: Replicas that receive a commit before it is
+        maximum_connections: Connections that each upstream accepts in total.
+        acknowledging_replicas: Number of replicas that receive a commit before it is
             acknowledged.
     """
 
@@ -60,11 +60,12 @@
     """One version of the operators' routes.
 
     Attributes:
-        version: Number of the version; 0 is the empty table.
+        version: Version number; 0 is the empty table.
         routes: Route by name of the database.
         groups: Limits by name of the group.
-        transaction_idle_s: Idle time after which a transaction may be ended.
-        startup_timeout_s: Longest wait for the first message of a caller.
+        transaction_idle_s: Idle time after which a transaction may be ended, in
+            seconds.
+        startup_timeout_s: Time limit for the first message of a caller, in seconds.
     """
 
     version: int
--- a/ebonyrack/routes/state.py
+++ b/ebonyrack/routes/state.py
@@ -1,4 +1,4 @@
-"""The version of the routes that a process runs."""
+"""The version of the routes that is in force in this process."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class RouteState:
-    """The routes in force: one attribute, replaced as a whole, never by older ones.
+    """The routes in force, which are replaced as a whole by newer versions only.
 
     Attributes:
         table: The routes in force.
@@ -27,18 +27,18 @@
         self.callbacks: list[Callback] = []
 
     def subscribe(self, callback: Callback) -> None:
-        """Call a function with each new version."""
+        """Register a function to be called with each new version."""
         self.callbacks.append(callback)
 
     def apply_if_newer(self, table: RouteTable, source: str) -> bool:
-        """Put a version in force if it is newer than the present one.
+        """Put a version in force if it is newer than the current one.
 
         Args:
             table: The routes.
             source: Where they came from, for the log.
 
         Returns:
-            Whether they are in force now.
+            Whether the given version was put in force.
         """
         if table.version <= self.table.version:
             return False
