--- a/ebonyrack/core/address.py
+++ b/ebonyrack/core/address.py
@@ -1,4 +1,4 @@
-"""Addresses by IP number and port."""
+"""Network addresses of IP number and port."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 from functools import lru_cache
 
-REMEMBERED_ADDRESSES = 4096
+ADDRESS_CACHE_SIZE = 4096
 
 
 @dataclass(frozen=True, slots=True, order=True)
@@ -27,10 +27,10 @@
         return f"{self.host}:{self.port}"
 
 
-# Peers name the same members by their addresses in most of their messages.
-@lru_cache(maxsize=REMEMBERED_ADDRESSES)
+# Most messages of peers repeat the addresses of the same members.
+@lru_cache(maxsize=ADDRESS_CACHE_SIZE)
 def parse_address(text: str) -> Address:
-    """Read an address from `IP:port` or `[IPv6]:port`.
+    """Parse an address from `IP:port` or `[IPv6]:port`.
 
     Args:
         text: The address.
--- a/ebonyrack/core/address_test.py
+++ b/ebonyrack/core/address_test.py
@@ -11,12 +11,12 @@
         ("[::1]:80", Address("::1", 80)),
     ],
 )
-def test_address_is_read_and_written(text, address):
+def test_address_is_parsed_and_formatted(text, address):
     assert parse_address(text) == address
     assert str(address) == text
 
 
 @pytest.mark.parametrize("text", ["localhost:80", "127.0.0.1", "127.0.0.1:99999", ""])
-def test_other_forms_are_refused(text):
+def test_malformed_addresses_are_rejected(text):
     with pytest.raises(ValueError):
         parse_address(text)
--- a/ebonyrack/core/byte_stream.py
+++ b/ebonyrack/core/byte_stream.py
@@ -1,4 +1,4 @@
-"""Bytes over one TCP connection, bounded in both directions."""
+"""Buffered bytes over one TCP connection, with back-pressure in both directions."""
 
 from __future__ import annotations
 
@@ -6,18 +6,19 @@
 
 
 class ByteStream(asyncio.Protocol):
-    """Keeps what arrives and stops reading when too much waits.
+    """Buffers received bytes and pauses reading when the buffer is full.
 
-    One task at a time waits for bytes, and one for room to write.
+    One task at a time may wait for bytes, and one until the stream is writable.
 
     Attributes:
-        limit_bytes: Bytes in the buffer at which reading stops.
+        limit_bytes: Bytes in the buffer at which reading is paused.
         transport: The TCP transport, once connected.
-        buffer: Bytes that have arrived and are not taken yet.
-        is_paused: Whether reading is stopped until somebody waits for bytes.
-        is_writing_paused: Whether too much waits to be sent.
+        buffer: Received bytes that are not consumed yet.
+        is_paused: Whether reading is paused until a task waits for bytes.
+        is_writing_paused: Whether the send buffer is full.
         data_waiter: Future of the task that waits for bytes, or None.
-        drain_waiter: Future of the task that waits for room to write, or None.
+        drain_waiter: Future of the task that waits until the stream is writable, or
+            None.
     """
 
     __slots__ = (
@@ -40,12 +41,12 @@
         self.drain_waiter: asyncio.Future[None] | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the transport (called by asyncio)."""
+        """Store the transport (called by asyncio)."""
         assert isinstance(transport, asyncio.Transport)
         self.transport = transport
 
     def data_received(self, data: bytes) -> None:
-        """Keep arrived bytes (called by asyncio)."""
+        """Buffer received bytes (called by asyncio)."""
         self.buffer += data
         if len(self.buffer) >= self.limit_bytes and not self.is_paused:
             self.is_paused = True
@@ -58,24 +59,24 @@
         self.is_writing_paused = True
 
     def resume_writing(self) -> None:
-        """Let `wait_until_writable` go on (called by asyncio)."""
+        """Wake `wait_until_writable` (called by asyncio)."""
         self.is_writing_paused = False
         wake(self.drain_waiter)
 
     def wake_waiters(self) -> None:
-        """Wake the reader and the writer that wait, if there are any."""
+        """Wake the waiting reader and writer, if there are any."""
         wake(self.data_waiter)
         wake(self.drain_waiter)
 
     async def wait_until_writable(self) -> None:
-        """Wait until the queue of bytes to send is shorter or `wake_waiters`."""
+        """Wait until the send buffer has room or `wake_waiters` is called."""
         self.drain_waiter = asyncio.get_running_loop().create_future()
         await self.drain_waiter
 
     async def wait_for_bytes(self) -> None:
-        """Read on and wait until bytes arrive or `wake_waiters`."""
+        """Resume reading and wait until bytes arrive or `wake_waiters` is called."""
         if self.is_paused:
-            # The frame in work is longer than the buffer, or the buffer is empty.
+            # The current frame is longer than the buffer, or the buffer is empty.
             self.is_paused = False
             assert self.transport is not None
             self.transport.resume_reading()
--- a/ebonyrack/core/clock.py
+++ b/ebonyrack/core/clock.py
@@ -1,4 +1,4 @@
-"""Monotonic time and detection of a paused process."""
+"""Clocks, and detection of a suspended process."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
 
 
 class PauseDetector:
-    """Notices that this process was paused between two of its own wake-ups.
+    """Detects that this process was paused between two of its scheduled wake-ups.
 
     Attributes:
-        limit_s: A longer lateness than this counts as a pause, in seconds.
-        read_clock: Clock in seconds; the boot clock also notices that the VM was
+        limit_s: Lateness above which a wake-up counts as a pause, in seconds.
+        read_clock: Clock in seconds; the boot clock also detects that the VM was
             suspended.
-        expected_s: Time on that clock at which the next wake-up was due.
+        expected_s: Time on that clock at which the next wake-up is due, or None.
     """
 
     __slots__ = ("limit_s", "read_clock", "expected_s")
@@ -29,7 +29,7 @@
         self.expected_s: float | None = None
 
     def schedule(self, delay_s: float) -> None:
-        """Note that the next wake-up is due after a delay.
+        """Schedule the next expected wake-up.
 
         Args:
             delay_s: Seconds until the wake-up.
@@ -45,9 +45,9 @@
 
 
 def boot_time_s() -> float:
-    """Return the seconds since the VM started, also those while it was suspended.
+    """Return the seconds since the VM started, including while it was suspended.
 
-    Ages of what was heard from other machines are measured on this clock: the
-    monotonic clock stops while the VM is suspended, and others go on meanwhile.
+    Ages of data from other VMs are measured on this clock: the monotonic clock stops
+    while the VM is suspended, but other VMs continue.
     """
     return time.clock_gettime(time.CLOCK_BOOTTIME)
--- a/ebonyrack/core/component.py
+++ b/ebonyrack/core/component.py
@@ -1,4 +1,4 @@
-"""Owners: async context managers that start and stop what they own."""
+"""Base class of components that are started and stopped asynchronously."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class Component:
-    """Base of an async context manager with a start and a stop of its own."""
+    """An async context manager that starts on entry and stops on exit."""
 
     __slots__ = ()
 
@@ -18,12 +18,12 @@
         await self.stop()
 
     async def start(self) -> None:
-        """Start what is owned; there may be nothing to start."""
+        """Start the component; by default there is nothing to start."""
 
     async def stop(self) -> None:
-        """Stop what is owned.
+        """Stop the component.
 
         Raises:
-            NotImplementedError: If the owner says nothing of how it stops.
+            NotImplementedError: If the component doesn't implement it.
         """
         raise NotImplementedError
--- a/ebonyrack/core/component_test.py
+++ b/ebonyrack/core/component_test.py
@@ -16,7 +16,7 @@
         self.steps.append("stop")
 
 
-async def test_an_owner_starts_and_stops_and_hides_no_error():
+async def test_component_is_stopped_after_an_error_that_propagates():
     recorder = Recorder()
     with pytest.raises(ZeroDivisionError):
         async with recorder as entered:
@@ -26,7 +26,7 @@
     assert recorder.steps == ["start", "stop"]
 
 
-async def test_an_owner_must_say_how_it_stops():
+async def test_component_must_implement_stop():
     with pytest.raises(NotImplementedError):
         async with Component():
             pass
--- a/ebonyrack/core/config_error.py
+++ b/ebonyrack/core/config_error.py
@@ -1,4 +1,4 @@
-"""A fault of a document that a person writes."""
+"""Configuration errors."""
 
 from __future__ import annotations
 
@@ -7,10 +7,10 @@
 
 @dataclass(frozen=True, slots=True)
 class ConfigError:
-    """One fault of an INI document.
+    """One error in a configuration document.
 
     Attributes:
-        source: File or document in which the fault is.
+        source: File or document with the error.
         section: Section, or an empty string.
         key: Key, or an empty string.
         text: What is wrong and what is allowed.
@@ -22,7 +22,7 @@
     text: str
 
     def __str__(self) -> str:
-        place = f"[{self.section}]" if self.section else ""
+        location = f"[{self.section}]" if self.section else ""
         if self.key:
-            place = f"{place} {self.key}"
-        return f"{self.source}: {place}: {self.text}"
+            location = f"{location} {self.key}"
+        return f"{self.source}: {location}: {self.text}"
--- a/ebonyrack/core/connection_stream.py
+++ b/ebonyrack/core/connection_stream.py
@@ -1,4 +1,4 @@
-"""Bytes over one TCP connection that remembers why it ended."""
+"""Byte stream over one TCP connection that records why the connection ended."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class ConnectionStream(ByteStream):
-    """Base of streams whose readers and writers are told of the end of the connection.
+    """Base class of streams whose users get an error after the connection is lost.
 
     Attributes:
         lost_reason: Why the connection has ended, or None while it is open.
@@ -14,7 +14,7 @@
 
     __slots__ = ("lost_reason",)
 
-    # What is told if the other side ends the stream.
+    # Reason that is recorded if the other side closes the connection.
     eof_reason = "the other side closed the connection"
 
     def __init__(self, limit_bytes: int) -> None:
@@ -22,7 +22,7 @@
         self.lost_reason: str | None = None
 
     def build_lost_error(self, reason: str) -> Exception:
-        """Build the error that readers and writers get after the end.
+        """Build the error that readers and writers get after the connection is lost.
 
         Args:
             reason: What happened.
@@ -35,11 +35,11 @@
         return False
 
     def connection_lost(self, error: Exception | None) -> None:
-        """Note that the connection is gone (called by asyncio)."""
+        """Record the end of the connection (called by asyncio)."""
         self.mark_lost(f"the connection broke: {error}" if error else "closed")
 
     def mark_lost(self, reason: str) -> None:
-        """Keep the first reason for the end of the connection and wake waiters.
+        """Record the first reason for the end of the connection and wake all waiters.
 
         Args:
             reason: What happened.
@@ -49,10 +49,10 @@
         self.wake_waiters()
 
     def abort(self, reason: str) -> None:
-        """Drop the connection at once, without sending what is still queued.
+        """Close the connection at once, without sending what is still queued.
 
         Args:
-            reason: Why, for whoever reads from it later.
+            reason: Why, for the error that later readers get.
         """
         self.mark_lost(reason)
         if self.transport is not None:
@@ -72,7 +72,7 @@
         self.transport.write(data)
 
     async def drain(self) -> None:
-        """Wait until the queue of bytes to send is short.
+        """Wait until the send buffer has room.
 
         Raises:
             Exception: The error of `build_lost_error`, if the connection has ended.
--- a/ebonyrack/core/errors.py
+++ b/ebonyrack/core/errors.py
@@ -1,4 +1,4 @@
-"""The closed list of error kinds and the answer for each."""
+"""The kinds of errors that callers can get, and the answer for each."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 from enum import StrEnum
 
-# Bounds on the time to come back of a refusal that depends on no queue.
+# Bounds of the random retry-after of errors that don't depend on a queue.
 SHORTEST_RETRY_S = 0.02
 LONGEST_RETRY_S = 0.2
 
@@ -45,7 +45,7 @@
 
 
 class Executed(StrEnum):
-    """Whether the request took effect in the database group."""
+    """Whether a request took effect in the database group."""
 
     NO = "no"
     YES = "yes"
@@ -54,7 +54,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ErrorAnswer:
-    """What a caller is told for one kind of error.
+    """Answer to a caller for one kind of error.
 
     Attributes:
         sqlstate: Five-character code, from PostgreSQL's appendix A.
@@ -186,9 +186,9 @@
     """A request that ends with an error answer.
 
     Attributes:
-        kind: Entry of the closed list.
+        kind: Kind of error.
         reason: What happened, for the DETAIL field and the log.
-        retry_after_s: Seconds after which a repeat is worth while, or None.
+        retry_after_s: Seconds after which a retry may succeed, or None.
     """
 
     def __init__(
@@ -211,7 +211,7 @@
 
     Returns:
         Field code to value, as in the PostgreSQL protocol. DETAIL always starts
-        with `ran=no`, `ran=yes` or `ran=unknown`; HINT says when to come back.
+        with `ran=no`, `ran=yes` or `ran=unknown`; HINT says when to retry.
     """
     answer = ERROR_ANSWERS[error.kind]
     severity = "FATAL" if answer.fatal else "ERROR"
@@ -229,12 +229,12 @@
 
 
 def build_retry_hint(answer: ErrorAnswer, retry_after_s: float | None) -> str:
-    """Build the HINT field: whether and when a repeat is worth while.
+    """Build the HINT field, which says whether and when to retry.
 
     Args:
         answer: Answer of the error's kind.
-        retry_after_s: Seconds to wait before a repeat; a short time at random if
-            None, so that callers who lost their upstream don't come back together.
+        retry_after_s: Seconds to wait before a retry; if None, a short random time, so
+            that callers who lost the same upstream don't retry at the same moment.
 
     Returns:
         `retry=no`, or `retry=yes` with `after_ms=N`.
--- a/ebonyrack/core/ini.py
+++ b/ebonyrack/core/ini.py
@@ -1,4 +1,4 @@
-"""INI files checked against pydantic models, with every fault reported at once."""
+"""INI documents validated by pydantic models, with all errors reported at once."""
 
 from __future__ import annotations
 
@@ -17,16 +17,16 @@
 
 
 class Section(BaseModel):
-    """Base of all sections: unknown keys are faults and records don't change."""
+    """Base model of sections: immutable, with unknown keys rejected."""
 
     model_config = ConfigDict(extra="forbid", frozen=True, arbitrary_types_allowed=True)
 
 
 def read_address(value: object) -> Address:
-    """Turn an INI value into an address, for use as a pydantic validator.
+    """Convert an INI value to an address, as a pydantic validator.
 
     Args:
-        value: Text, or an address already read.
+        value: Text, or an address that is already parsed.
 
     Returns:
         The address.
@@ -37,10 +37,10 @@
 
 
 def read_words(value: object) -> tuple[Any, ...]:
-    """Split an INI value at commas and white space.
+    """Split an INI value at commas and white space, as a pydantic validator.
 
     Args:
-        value: Text, or a sequence already split.
+        value: Text, or a sequence that is already split.
 
     Returns:
         The words.
@@ -58,14 +58,14 @@
 def parse_ini(
     text: str, source: str
 ) -> tuple[dict[str, dict[str, str]], tuple[ConfigError, ...]]:
-    """Split an INI text into sections and keys.
+    """Parse an INI text into sections and keys.
 
     Args:
         text: The document.
-        source: Name of the document, for faults.
+        source: Name of the document, for errors.
 
     Returns:
-        Section to key to value, and the faults of form.
+        Section to key to value, and the syntax errors.
     """
     parser = configparser.ConfigParser(interpolation=None, strict=True)
     parser.optionxform = str  # type: ignore[assignment, method-assign]
@@ -80,21 +80,21 @@
 def check_section(
     model: type[Section], values: dict[str, str], source: str, section: str
 ) -> tuple[Any, tuple[ConfigError, ...]]:
-    """Check one section against its model.
+    """Validate one section by its model.
 
     Args:
         model: Model of the section.
         values: Key to value.
-        source: Name of the document, for faults.
-        section: Name of the section, for faults.
+        source: Name of the document, for errors.
+        section: Name of the section, for errors.
 
     Returns:
-        The record, or None with all faults of the section.
+        The record, or None with all errors of the section.
     """
     try:
         return model.model_validate(values), ()
     except ValidationError as error:
-        faults = tuple(
+        errors = tuple(
             ConfigError(
                 source,
                 section,
@@ -103,4 +103,4 @@
             )
             for item in error.errors()
         )
-        return None, faults
+        return None, errors
--- a/ebonyrack/core/line_stream.py
+++ b/ebonyrack/core/line_stream.py
@@ -1,4 +1,4 @@
-"""Lines over one TCP connection, bounded in length and in both directions."""
+"""Lines of bounded length over one TCP connection, with back-pressure."""
 
 from __future__ import annotations
 
@@ -9,15 +9,15 @@
 from ebonyrack.core.address import Address
 from ebonyrack.core.connection_stream import ConnectionStream
 
-# Longest line and its end; the protocols that are spoken allow no longer message.
+# Longest line with its end; the supported protocols allow no longer messages.
 MAXIMUM_LINE_BYTES = 1024 * 1024
 READ_BUFFER_BYTES = 256 * 1024
-# Bytes that wait to be sent before a writer waits for the other side.
+# Size of the send buffer above which writers wait for the other side.
 WRITE_BUFFER_BYTES = 256 * 1024
 
 
 class LineTooLongError(Exception):
-    """The other side sent a line that passes the limit."""
+    """The other side sent a line that exceeds the limit."""
 
 
 class StreamLostError(Exception):
@@ -33,10 +33,10 @@
 
 
 class LineStream(ConnectionStream):
-    """Splits what arrives into lines.
+    """Splits received bytes into lines.
 
     Attributes:
-        searched: Bytes of the buffer that hold no end of a line.
+        searched: Leading bytes of the buffer that are known to hold no line end.
         on_connected: Called once with this stream when it is connected, or None.
     """
 
@@ -50,7 +50,7 @@
         self.on_connected = on_connected
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the transport and report the connection (called by asyncio)."""
+        """Store the transport and report the connection (called by asyncio)."""
         super().connection_made(transport)
         assert self.transport is not None
         self.transport.set_write_buffer_limits(high=WRITE_BUFFER_BYTES)
@@ -58,24 +58,24 @@
             self.on_connected(self)
 
     def build_lost_error(self, reason: str) -> StreamLostError:
-        """Build the error that readers and writers get after the end."""
+        """Build the error that readers and writers get after the connection is lost."""
         return StreamLostError(reason)
 
     def close(self, reason: str) -> None:
-        """End the connection after what is queued was sent.
+        """Close the connection after sending what is queued.
 
         Args:
-            reason: Why, for whoever reads from it later.
+            reason: Why, for the error that later readers get.
         """
         self.mark_lost(reason)
         if self.transport is not None:
             self.transport.close()
 
-    def take_line(self) -> bytes | None:
-        """Take the next whole line without its end, or return None.
+    def pop_line(self) -> bytes | None:
+        """Remove and return the next whole line without its end, or return None.
 
         Raises:
-            LineTooLongError: If the line passes the limit.
+            LineTooLongError: If the line exceeds the limit.
         """
         end = self.buffer.find(b"\n", self.searched)
         if end < 0:
@@ -95,10 +95,10 @@
 
         Raises:
             StreamLostError: If the connection ended before a whole line came.
-            LineTooLongError: If the line passes the limit.
+            LineTooLongError: If the line exceeds the limit.
         """
         while True:
-            line = self.take_line()
+            line = self.pop_line()
             if line is not None:
                 return line
             if self.lost_reason is not None:
@@ -106,13 +106,15 @@
             await self.wait_for_bytes()
 
 
-async def open_line_stream(address: Address, silence_ms: int) -> LineStream:
+async def open_line_stream(
+    address: Address, unacknowledged_limit_ms: int
+) -> LineStream:
     """Open a connection that breaks when sent bytes stay unacknowledged.
 
     Args:
-        address: Address by IP number.
-        silence_ms: Milliseconds without an acknowledgement of TCP after which the
-            connection breaks.
+        address: Address to connect to.
+        unacknowledged_limit_ms: TCP breaks the connection when sent bytes stay
+            unacknowledged for this many milliseconds.
 
     Returns:
         The connection.
@@ -123,7 +125,9 @@
     loop = asyncio.get_running_loop()
     connection = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     connection.setblocking(False)
-    connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, silence_ms)
+    connection.setsockopt(
+        socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, unacknowledged_limit_ms
+    )
     try:
         await loop.sock_connect(connection, (address.host, address.port))
         _, stream = await loop.create_connection(LineStream, sock=connection)
--- a/ebonyrack/core/log_writer.py
+++ b/ebonyrack/core/log_writer.py
@@ -1,4 +1,4 @@
-"""Writes log lines to standard output without ever holding up the process."""
+"""Writes log lines to standard output without ever blocking the process."""
 
 from __future__ import annotations
 
@@ -8,21 +8,22 @@
 import threading
 from collections import deque
 
-# Lines that wait while the reader of the pipe is slow; more are dropped and counted.
+# Lines that are queued while the reader of the pipe is slow; more are dropped and
+# counted.
 MAXIMUM_LINES = 5000
-# Lines that come within this time are written in one go, in seconds.
-GATHER_S = 0.05
+# Lines queued within this time are written in one batch, in seconds.
+BATCH_S = 0.05
 
 
 class LogWriter:
     """A bounded queue of lines and the thread that writes them.
 
     Attributes:
-        descriptor: File descriptor that is written to.
-        lines: Lines that wait.
-        dropped: Lines that found no room since the last report.
+        descriptor: File descriptor to write to.
+        lines: Queued lines.
+        dropped: Lines dropped since the last report because the queue was full.
         has_lines: Wakes the thread.
-        has_stopped: Whether the thread should end once all is written.
+        has_stopped: Set when the thread should end once all lines are written.
         thread: Writes the lines.
     """
 
@@ -44,21 +45,21 @@
         self.thread = threading.Thread(target=self.write_forever, daemon=True)
 
     def start(self) -> None:
-        """Start to write."""
+        """Start the thread."""
         self.thread.start()
 
     def stop(self, limit_s: float) -> None:
-        """Write what waits, for a limited time.
+        """Write the queued lines, for a limited time.
 
         Args:
-            limit_s: Seconds after which the rest is given up.
+            limit_s: Seconds after which the remaining lines are abandoned.
         """
         self.has_stopped.set()
         self.has_lines.set()
         self.thread.join(limit_s)
 
     def put(self, line: str) -> None:
-        """Queue a line; without room it is dropped and counted."""
+        """Queue a line; if the queue is full, it is dropped and counted."""
         if len(self.lines) >= MAXIMUM_LINES:
             self.dropped += 1
             return
@@ -67,32 +68,32 @@
             self.has_lines.set()
 
     def write_forever(self) -> None:
-        """Write lines as they come (runs in the thread)."""
+        """Write queued lines until stopped (runs in the thread)."""
         while True:
             self.has_lines.wait()
-            if not self.has_stopped.wait(GATHER_S):
+            if not self.has_stopped.wait(BATCH_S):
                 self.has_lines.clear()
-            self.write_waiting()
+            self.write_queued()
             if self.has_stopped.is_set() and not self.lines:
                 return
 
-    def write_waiting(self) -> None:
-        """Write the lines that wait now, and how many were dropped."""
+    def write_queued(self) -> None:
+        """Write the lines queued now, and how many were dropped."""
         count = len(self.lines)
-        parts = [self.lines.popleft() for _ in range(count)]
+        batch = [self.lines.popleft() for _ in range(count)]
         if self.dropped:
             dropped, self.dropped = self.dropped, 0
-            parts.append(json.dumps({"event": "log_lines_dropped", "count": dropped}))
-        if not parts:
+            batch.append(json.dumps({"event": "log_lines_dropped", "count": dropped}))
+        if not batch:
             return
-        data = ("\n".join(parts) + "\n").encode()
+        data = ("\n".join(batch) + "\n").encode()
         while data:
             try:
                 data = data[os.write(self.descriptor, data) :]
             except BlockingIOError:
-                self.has_stopped.wait(GATHER_S)
+                self.has_stopped.wait(BATCH_S)
             except OSError:
-                # Nobody reads any more, and there is no other place to say so.
+                # The reader is gone, and there is no other place to report it.
                 return
 
 
--- a/ebonyrack/core/logs.py
+++ b/ebonyrack/core/logs.py
@@ -1,4 +1,4 @@
-"""JSON-line logs and the log line of each placement decision."""
+"""JSON-line logs, with sampled lines on decisions and bounded lines on failures."""
 
 from __future__ import annotations
 
@@ -19,14 +19,15 @@
 
 decision_sampling = 1.0
 writer: LogWriter | None = None
-# Lines on failed requests each second; the rest is counted, as all may fail at once.
+# Lines on failed requests a second; further ones are only counted, as all requests may
+# fail at once.
 MAXIMUM_FAILURES_PER_S = 100
-# How long the end of the process waits for the last lines, in seconds.
-LAST_LINES_S = 0.5
+# Time that the process waits for its last lines to be written at exit, in seconds.
+EXIT_FLUSH_LIMIT_S = 0.5
 
 
 class LogOptions(Protocol):
-    """What is logged."""
+    """Options of the log."""
 
     @property
     def level(self) -> str:
@@ -37,13 +38,13 @@
         """Share of the decisions on requests that is written, 0 to 1."""
 
 
-class FailureBudget:
-    """Bounds the lines on failures in each second.
+class FailureLogLimit:
+    """Limits the rate of lines on failures.
 
     Attributes:
         second: The second that is counted.
-        count: Lines in it.
-        omitted: Lines left out since the last one written.
+        count: Failures in that second.
+        omitted: Lines omitted since the last one written.
     """
 
     __slots__ = ("second", "count", "omitted")
@@ -53,8 +54,8 @@
         self.count = 0
         self.omitted = 0
 
-    def take(self) -> bool:
-        """Return whether one more line may be written now."""
+    def allow(self) -> bool:
+        """Count a failure and return whether its line may be written."""
         second = int(time.monotonic())
         if second != self.second:
             self.second, self.count = second, 0
@@ -65,7 +66,7 @@
         return True
 
 
-failure_budget = FailureBudget()
+failure_log_limit = FailureLogLimit()
 
 
 def start_logging(settings: LogOptions, proxy_name: str) -> None:
@@ -73,14 +74,14 @@
 
     Args:
         settings: Level and sampling of decision lines.
-        proxy_name: Name of this process, in every line.
+        proxy_name: Name of this process, which every line contains.
     """
     global decision_sampling, writer
     decision_sampling = settings.decision_sampling
     if writer is None:
         writer = build_standard_writer()
         writer.start()
-        atexit.register(writer.stop, LAST_LINES_S)
+        atexit.register(writer.stop, EXIT_FLUSH_LIMIT_S)
     logger.remove()
     logger.configure(extra={"proxy": proxy_name})
     logger.add(write_json_line, level=settings.level.upper(), format="{message}")
@@ -109,7 +110,7 @@
 def log_decision(event: str, **fields: object) -> None:
     """Log a routing or placement decision.
 
-    The share of lines that is written is set by `decision_sampling`.
+    Only a share of these lines is written, as set by `decision_sampling`.
 
     Args:
         event: Name of the decision, such as `read_placed`.
@@ -121,15 +122,15 @@
 
 
 def log_failure(event: str, **fields: object) -> None:
-    """Log a request that failed; the lines of each second are bounded.
+    """Log a request that failed, at a limited rate.
 
     Args:
         event: Name of the event, such as `request_failed`.
-        **fields: Request id, error kind and what decided it.
+        **fields: Request id, error kind and reason.
     """
-    if not failure_budget.take():
+    if not failure_log_limit.allow():
         return
-    omitted, failure_budget.omitted = failure_budget.omitted, 0
+    omitted, failure_log_limit.omitted = failure_log_limit.omitted, 0
     if omitted:
         fields["omitted_before"] = omitted
     logger.bind(**fields).warning(event)
--- a/ebonyrack/core/metrics.py
+++ b/ebonyrack/core/metrics.py
@@ -1,4 +1,4 @@
-"""OpenTelemetry instruments and the address from which they are scraped."""
+"""OpenTelemetry instruments and their endpoint for Prometheus."""
 
 from __future__ import annotations
 
@@ -40,15 +40,14 @@
 def start_metrics(address: Address | None) -> None:
     """Collect metrics and serve them for scraping.
 
-    Nothing is collected without an address, which spares the memory of the
-    exporter.
+    Without an address nothing is collected, which saves the memory of the exporter.
 
     Args:
         address: Where the Prometheus text format is served, or None.
     """
     if address is None:
         return
-    # The exporter takes several megabytes, so it is loaded only where it is used.
+    # The exporter takes several megabytes, so it is imported only if it is used.
     from opentelemetry.exporter.prometheus import PrometheusMetricReader
     from opentelemetry.sdk.metrics import MeterProvider
     from prometheus_client import start_http_server
--- a/ebonyrack/core/notifier.py
+++ b/ebonyrack/core/notifier.py
@@ -1,4 +1,4 @@
-"""A notice that wakes every task that waits for it."""
+"""Notifications that wake all waiting tasks."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class Notifier:
-    """Wakes all waiting tasks at each notice; a notice is not kept.
+    """Wakes all waiting tasks with each notification, which is not stored.
 
     Attributes:
         waiters: One future for each waiting task.
@@ -18,7 +18,7 @@
         self.waiters: set[asyncio.Future[None]] = set()
 
     def notify(self) -> None:
-        """Wake every task that waits now."""
+        """Wake every waiting task."""
         waiters = self.waiters
         self.waiters = set()
         for waiter in waiters:
@@ -28,14 +28,14 @@
     async def wait(
         self, timeout_s: float, waiter: asyncio.Future[None] | None = None
     ) -> bool:
-        """Wait for the next notice.
+        """Wait for the next notification.
 
         Args:
             timeout_s: Seconds to wait at most.
-            waiter: What to wait with; whoever else holds it may end the wait.
+            waiter: Future to wait on, which its other holders may resolve too.
 
         Returns:
-            Whether a notice came in time.
+            Whether the future was resolved in time.
         """
         if waiter is None:
             waiter = asyncio.get_running_loop().create_future()
--- a/ebonyrack/core/position.py
+++ b/ebonyrack/core/position.py
@@ -7,15 +7,15 @@
 
 @dataclass(frozen=True, slots=True, order=True)
 class LogPosition:
-    """A place in the log of a database group.
+    """A position in the log of a database group.
 
-    Positions order by term first, then by offset. An upstream whose last entry
-    is at or after a position that a majority holds contains that position's
-    entry, since a promotion keeps every entry that a majority holds.
+    Positions are ordered by term, then by offset. An upstream whose last entry is at or
+    after a position that a majority holds contains that position's entry, since a
+    promotion keeps every entry that a majority holds.
 
     Attributes:
         term: Term of the primary that wrote the entry.
-        offset: Number of the entry in the log, counted from 1; 0 is empty.
+        offset: Number of the entry in the log, counted from 1; 0 for an empty log.
     """
 
     term: int
@@ -29,7 +29,7 @@
 
 
 def parse_position(text: str) -> LogPosition:
-    """Read a position from its `term/offset` form.
+    """Parse a position from its `term/offset` form.
 
     Args:
         text: Two decimal numbers with a slash between.
--- a/ebonyrack/core/position_test.py
+++ b/ebonyrack/core/position_test.py
@@ -7,16 +7,16 @@
 
 
 @given(st.integers(0, 2**63), st.integers(0, 2**63))
-def test_parse_reads_back_what_str_wrote(term, offset):
+def test_parsing_is_the_inverse_of_str(term, offset):
     position = LogPosition(term, offset)
     assert parse_position(str(position)) == position
 
 
-def test_a_higher_term_orders_after_a_longer_log():
+def test_higher_term_orders_after_higher_offset():
     assert LogPosition(2, 1) > LogPosition(1, 900)
 
 
 @pytest.mark.parametrize("text", ["", "1", "1/", "/1", "-1/2", "1/2/3", "a/b", "¹/2"])
-def test_malformed_positions_are_refused(text):
+def test_malformed_positions_are_rejected(text):
     with pytest.raises(ValueError):
         parse_position(text)
--- a/ebonyrack/core/registry.py
+++ b/ebonyrack/core/registry.py
@@ -1,4 +1,4 @@
-"""Registries of variants that decorators fill."""
+"""Registries of named variants, filled by decorators."""
 
 from __future__ import annotations
 
@@ -10,10 +10,10 @@
 
 
 class Registry(Generic[Entry]):
-    """A table from a name in the settings to a variant of some behaviour.
+    """A mapping from names, such as values of settings, to variants of a behaviour.
 
     Attributes:
-        noun: What the entries are, for error messages.
+        noun: What an entry is, for error messages.
         entries: Name to entry.
     """
 
@@ -27,7 +27,7 @@
         """Return a decorator that adds its target under a name.
 
         Args:
-            name: Name by which settings choose the entry.
+            name: Name by which the entry is looked up.
 
         Returns:
             The decorator.
@@ -54,7 +54,7 @@
             The entry.
 
         Raises:
-            KeyError: If no entry has the name; the message lists those there are.
+            KeyError: If no entry has the name; the message lists the known names.
         """
         if name not in self.entries:
             known = ", ".join(sorted(self.entries))
--- a/ebonyrack/core/registry_test.py
+++ b/ebonyrack/core/registry_test.py
@@ -13,7 +13,7 @@
     assert policies.get("first") is choose_first
 
 
-def test_a_name_can_be_registered_once():
+def test_name_can_be_registered_only_once():
     policies: Registry = Registry("read policy")
     policies.register("first")(1)
     with pytest.raises(ValueError, match="registered already"):
--- a/ebonyrack/core/route_settings.py
+++ b/ebonyrack/core/route_settings.py
@@ -1,4 +1,4 @@
-"""Settings of a proxy that serves routes."""
+"""Settings of a proxy process that serves routes."""
 
 from __future__ import annotations
 
@@ -9,16 +9,16 @@
 
 @dataclass(frozen=True, slots=True)
 class RouteProxySettings:
-    """Who a process is, where it listens and what it reaches.
+    """Identity, listeners and remote addresses of a process.
 
     Attributes:
         name: Name of the process, unique among all.
         data_centre: Data centre of its VM.
         caller_address: Where callers connect.
-        ready_address: Where the balancer asks whether the process is ready.
-        store_address: The platform's store.
+        ready_address: Where the load balancer checks whether the process is ready.
+        store_address: Address of the platform's store.
         order_address: Where promotions are ordered.
-        grace_s: Time between the signal to stop and the end, in seconds.
+        grace_s: Time between the signal to stop and the end of the process, in seconds.
     """
 
     name: str
--- a/ebonyrack/core/settings.py
+++ b/ebonyrack/core/settings.py
@@ -1,4 +1,4 @@
-"""Settings of one daemon process, read from its INI file."""
+"""Settings of a daemon process, read from its INI file."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class ProxySettings(Section):
-    """Section `[proxy]`: who this process is and where it listens."""
+    """Section `[proxy]`: identity and listeners of this process."""
 
     name: str = Field(min_length=1, pattern=r"^[A-Za-z0-9._-]+$")
     data_centre: str = Field(min_length=1)
@@ -44,7 +44,7 @@
 
 
 class PeerSettings(Section):
-    """Section `[peers]`: first peers to meet and the secret that all share."""
+    """Section `[peers]`: initial peers, shared secret and time limits."""
 
     seeds: Addresses = ()
     secret: str = Field(min_length=8)
@@ -55,7 +55,7 @@
 
 
 class LogSettings(Section):
-    """Section `[log]`: what is written to standard error."""
+    """Section `[log]`: level and sampling."""
 
     level: Literal["debug", "info", "warning", "error"] = "info"
     decision_sampling: float = Field(1.0, ge=0, le=1)
@@ -69,7 +69,7 @@
         proxy: Name, data centre and listeners.
         store: The platform's store.
         peers: The other proxies.
-        log: Logs.
+        log: Level and sampling of the log.
     """
 
     proxy: ProxySettings
@@ -89,42 +89,42 @@
 def parse_settings(
     text: str, source: str
 ) -> tuple[Settings | None, tuple[ConfigError, ...]]:
-    """Read and check the settings of a daemon as a whole.
+    """Parse and validate the settings of a daemon.
 
     Args:
         text: The INI document.
-        source: Its file name, for faults.
+        source: Its file name, for errors.
 
     Returns:
-        The settings, or None with every fault found.
+        The settings, or None with all errors.
     """
-    sections, faults = parse_ini(text, source)
-    if faults:
-        return None, faults
-    found = list(find_unknown_sections(sections, source))
+    sections, syntax_errors = parse_ini(text, source)
+    if syntax_errors:
+        return None, syntax_errors
+    errors = list(find_unknown_sections(sections, source))
     records: dict[str, Any] = {}
     for name, model in SECTION_MODELS.items():
-        record, section_faults = check_section(
+        record, section_errors = check_section(
             model, sections.get(name, {}), source, name
         )
         records[name] = record
-        found.extend(section_faults)
-    if found:
-        return None, tuple(found)
+        errors.extend(section_errors)
+    if errors:
+        return None, tuple(errors)
     return Settings(**records), ()
 
 
 def find_unknown_sections(
     sections: dict[str, dict[str, str]], source: str
 ) -> tuple[ConfigError, ...]:
-    """Report sections that the settings don't have.
+    """Return an error for each section that the settings don't have.
 
     Args:
         sections: Section to values.
         source: Name of the document.
 
     Returns:
-        One fault for each unknown section.
+        The errors.
     """
     known = ", ".join(SECTION_MODELS)
     return tuple(
--- a/ebonyrack/core/settings_test.py
+++ b/ebonyrack/core/settings_test.py
@@ -15,27 +15,27 @@
 """
 
 
-def test_good_settings_are_read_as_records():
-    settings, faults = parse_settings(GOOD, "proxy.ini")
-    assert faults == ()
+def test_valid_settings_are_parsed():
+    settings, errors = parse_settings(GOOD, "proxy.ini")
+    assert errors == ()
     assert settings.proxy.caller_address == Address("127.0.1.1", 6432)
     assert len(settings.peers.seeds) == 2
 
 
-def test_every_fault_is_reported_with_section_and_key():
+def test_every_error_is_reported_with_section_and_key():
     text = GOOD.replace("127.0.1.1:6432", "somewhere").replace("name =", "nome =")
-    settings, faults = parse_settings(text + "[extra]\nx = 1\n", "proxy.ini")
+    settings, errors = parse_settings(text + "[extra]\nx = 1\n", "proxy.ini")
     assert settings is None
-    places = {(fault.section, fault.key) for fault in faults}
+    locations = {(error.section, error.key) for error in errors}
     assert {
         ("proxy", "name"),
         ("proxy", "nome"),
         ("proxy", "caller_address"),
         ("extra", ""),
-    } <= places
+    } <= locations
 
 
-def test_a_document_that_is_no_ini_is_one_fault():
-    settings, faults = parse_settings("name = 1", "proxy.ini")
+def test_text_that_is_not_ini_is_one_error():
+    settings, errors = parse_settings("name = 1", "proxy.ini")
     assert settings is None
-    assert len(faults) == 1
+    assert len(errors) == 1
--- a/ebonyrack/core/tasks.py
+++ b/ebonyrack/core/tasks.py
@@ -1,4 +1,4 @@
-"""Starting and ending the tasks of an owner."""
+"""Starting and cancelling background tasks."""
 
 from __future__ import annotations
 
@@ -10,15 +10,15 @@
 
 from loguru import logger
 
-# Pause before a loop that broke is started again, in seconds.
+# Pause before a failed loop is restarted, in seconds.
 RESTART_PAUSE_S = 0.5
 
 
 async def end_tasks(tasks: Iterable[asyncio.Task[Any] | None]) -> None:
-    """Cancel tasks and wait until all have ended, whatever they end with.
+    """Cancel tasks and wait until all have ended, ignoring their exceptions.
 
     Args:
-        tasks: Tasks of the caller; None stands for one that was never started.
+        tasks: The tasks; None stands for one that was never started.
     """
     started = [task for task in tasks if task is not None]
     for task in started:
@@ -27,23 +27,23 @@
 
 
 def start_loop(run: Callable[[], Awaitable[None]]) -> asyncio.Task[None]:
-    """Start a loop that must go on; one that breaks is logged and started again.
+    """Start a background loop that is logged and restarted when it fails.
 
     Args:
-        run: The loop; it ends by being cancelled.
+        run: The loop, which ends only by being cancelled.
 
     Returns:
         Its task.
     """
-    return asyncio.create_task(run_for_ever(run))
+    return asyncio.create_task(run_forever(run))
 
 
-async def run_for_ever(run: Callable[[], Awaitable[None]]) -> None:
-    """Run a loop again whenever it breaks."""
+async def run_forever(run: Callable[[], Awaitable[None]]) -> None:
+    """Restart a loop whenever it ends or raises an exception."""
     while True:
         try:
             await run()
         except Exception:
             name = getattr(run, "__qualname__", str(run))
-            logger.bind(loop=name).exception("loop_broke")
+            logger.bind(loop=name).exception("loop_failed")
         await asyncio.sleep(RESTART_PAUSE_S)
--- a/ebonyrack/core/tasks_test.py
+++ b/ebonyrack/core/tasks_test.py
@@ -4,7 +4,7 @@
 from ebonyrack.core.tasks import start_loop
 
 
-async def test_all_tasks_have_ended_whatever_they_end_with():
+async def test_all_tasks_have_ended_after_end_tasks():
     async def clean_up_slowly():
         try:
             await asyncio.sleep(60)
@@ -20,7 +20,7 @@
     assert all(task.done() for task in tasks if task is not None)
 
 
-async def test_a_loop_that_breaks_goes_on(monkeypatch):
+async def test_failed_loop_is_restarted(monkeypatch):
     monkeypatch.setattr("ebonyrack.core.tasks.RESTART_PAUSE_S", 0.0)
     runs = []
 
--- a/ebonyrack/core/verifier.py
+++ b/ebonyrack/core/verifier.py
@@ -11,12 +11,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Verifier:
-    """What the proxy knows of a password.
+    """Data with which a password is verified without knowing it.
 
     Attributes:
         salt: Salt of the password.
-        stored_key: Hash of the client's key.
-        server_key: Key that proves the server.
+        stored_key: Hash of the client key.
+        server_key: Key with which the server proves itself to the client.
         iterations: Number of hash iterations.
     """
 
@@ -27,7 +27,7 @@
 
 
 def parse_verifier(text: str) -> Verifier:
-    """Read a verifier in PostgreSQL's text form.
+    """Parse a verifier in PostgreSQL's text form.
 
     Args:
         text: `SCRAM-SHA-256$iterations:salt$stored key:server key`.
