--- a/ebonyrack/serving/reading.py
+++ b/ebonyrack/serving/reading.py
@@ -209,7 +209,7 @@
             reason=reason,
         )
 
-    def log_placed(self, member: Member, tries: int) -> None:
+    def log_placed(self, member: Member, number: int) -> None:
         """Log the placement of the served read and count it."""
         role = "primary" if member is self.statement.group.primary else "replica"
         metrics.placements.add(1, {"group": self.statement.group.name, "role": role})
@@ -224,7 +224,7 @@
             role=role,
             position=str(self.requirement.position),
             age_s=round(self.requirement.age_s, 3),
-            tries=tries + 1,
+            tries=number + 1,
             queued_s=round(self.queued_s, 4),
             elapsed_s=round(elapsed_s, 4),
         )
