--- a/ebonyrack/entry/__init__.py
+++ b/ebonyrack/entry/__init__.py
@@ -1,1 +1,1 @@
-"""The proxy for routes: settings, the parts that it owns, its life cycle."""
+"""The route proxy: caller connections, primary monitoring and process life cycle."""
--- a/ebonyrack/entry/caller_connection.py
+++ b/ebonyrack/entry/caller_connection.py
@@ -1,4 +1,4 @@
-"""One caller's connection: its task reads, serves and answers."""
+"""Serves one caller's connection: reads requests and writes the replies."""
 
 from __future__ import annotations
 
@@ -18,22 +18,22 @@
 from ebonyrack.serving.services import Services
 from ebonyrack.serving.session import Session
 
-# How long a caller waits at the start for the first routes, in seconds; callers give
-# a session up that takes two.
-ROUTES_WAIT_S = 1.5
-ROUTES_PAUSE_S = 0.02
+# Time that a new session waits for the first routes; callers give up a session whose
+# start takes 2 s.
+ROUTES_TIMEOUT_S = 1.5
+ROUTES_POLL_INTERVAL_S = 0.02
 
 
 class CallerConnection:
-    """One caller.
+    """One caller's session on its own connection.
 
     Attributes:
-        services: What all sessions share.
-        codec: Protocol of callers.
+        services: State shared by all sessions.
+        codec: Protocol spoken with callers.
         stream: The connection.
-        session: The session, once it is opened.
-        is_waiting: Whether no request is being served.
-        is_closing: Whether the connection ends as soon as nothing is open.
+        session: The session, or None until it is opened.
+        is_waiting: Whether the connection waits for the next request.
+        is_closing: Whether the session ends as soon as no transaction is open.
     """
 
     __slots__ = (
@@ -68,18 +68,20 @@
             self.stream.close("the session has ended")
 
     async def start_session(self) -> bool:
-        """Open the session; return whether it is open."""
+        """Open the session; return whether this succeeded."""
         limit_s = self.services.routes.table.startup_timeout_s
         try:
             async with asyncio.timeout(limit_s):
-                found = await self.codec.read_startup(self.stream)
+                result = await self.codec.read_startup(self.stream)
         except TimeoutError:
             logger.bind(limit_s=limit_s).info("caller_sent_no_startup")
             return False
-        if isinstance(found, Err):
-            self.refuse(RequestError(ErrorKind.BAD_REQUEST, found.err_value.reason))
+        if isinstance(result, Err):
+            self.refuse_session(
+                RequestError(ErrorKind.BAD_REQUEST, result.err_value.reason)
+            )
             return False
-        database = found.ok_value
+        database = result.ok_value
         try:
             await self.wait_for_routes()
             self.services.find_route(database)
@@ -89,80 +91,83 @@
                 error=str(error.kind),
                 version=self.services.routes.table.version,
             ).info("session_refused")
-            self.refuse(error)
+            self.refuse_session(error)
             return False
         self.session = Session(self.services, database)
         self.stream.write(self.codec.encode_started())
         return True
 
     async def wait_for_routes(self) -> None:
-        """Wait until the first routes are known.
+        """Wait until the first routes are loaded.
 
         Raises:
-            RequestError: CUT_OFF if they don't come in time.
+            RequestError: CUT_OFF if they are not loaded in time.
         """
-        give_up_s = asyncio.get_running_loop().time() + ROUTES_WAIT_S
+        deadline_s = asyncio.get_running_loop().time() + ROUTES_TIMEOUT_S
         while self.services.routes.table.version == 0:
-            if asyncio.get_running_loop().time() > give_up_s:
-                raise RequestError(ErrorKind.CUT_OFF, "no routes are known yet")
-            await asyncio.sleep(ROUTES_PAUSE_S)
+            if asyncio.get_running_loop().time() > deadline_s:
+                raise RequestError(ErrorKind.CUT_OFF, "no routes have been loaded yet")
+            await asyncio.sleep(ROUTES_POLL_INTERVAL_S)
 
-    def refuse(self, error: RequestError) -> None:
-        """Tell the caller why no session is opened."""
+    def refuse_session(self, error: RequestError) -> None:
+        """Send the caller the reason why no session is opened."""
         self.stream.write(self.codec.encode_refusal(error))
 
     async def serve_requests(self) -> None:
-        """Answer requests until the session ends."""
+        """Serve requests until the session ends."""
         assert self.session is not None
         while not self.is_finished():
             self.is_waiting = True
-            found = await self.codec.read_request(self.stream)
+            result = await self.codec.read_request(self.stream)
             self.is_waiting = False
-            if isinstance(found, Err):
-                if not self.answer_bad(found.err_value):
+            if isinstance(result, Err):
+                if not self.reject_malformed(result.err_value):
                     return
                 continue
-            if found.ok_value is None:
+            if result.ok_value is None:
                 return
-            answer = await self.session.answer(found.ok_value)
+            answer = await self.session.answer(result.ok_value)
             self.stream.write(self.codec.encode_answer(answer))
             await self.stream.drain()
 
     def is_finished(self) -> bool:
-        """Whether the session ends now that nothing is open."""
+        """Whether the session is closing and has no open transaction."""
         if not self.is_closing or self.session is None:
             return False
         return self.session.state is TransactionState.IDLE
 
-    def answer_bad(self, bad: BadRequest) -> bool:
-        """Answer what can't be understood; return whether the session goes on."""
+    def reject_malformed(self, malformed: BadRequest) -> bool:
+        """Answer a malformed request; return whether the session continues."""
         assert self.session is not None
         kind = (
-            ErrorKind.REQUEST_TOO_LARGE if bad.ends_session else ErrorKind.BAD_REQUEST
+            ErrorKind.REQUEST_TOO_LARGE
+            if malformed.ends_session
+            else ErrorKind.BAD_REQUEST
         )
-        answer = Answer(self.session.state, error=RequestError(kind, bad.reason))
+        answer = Answer(self.session.state, error=RequestError(kind, malformed.reason))
         logger.bind(
-            request=bad.request_id.decode("ascii", "replace"), reason=bad.reason
+            request=malformed.request_id.decode("ascii", "replace"),
+            reason=malformed.reason,
         ).info("request_not_understood")
         self.stream.write(self.codec.encode_answer(answer))
-        return not bad.ends_session
+        return not malformed.ends_session
 
     def close_when_idle(self) -> None:
-        """End the session between two requests, at once if it waits for one."""
+        """End the session once no transaction is open, at once if it is idle."""
         self.is_closing = True
         self.end_if_idle()
 
     def end_if_idle(self) -> bool:
-        """End the session if it waits for a request outside a transaction."""
+        """End the session if it is idle outside a transaction; return whether it is."""
         if self.session is None or not self.is_waiting:
             return False
         if self.session.state is not TransactionState.IDLE:
             return False
-        self.stream.close("the caller is served elsewhere")
+        self.stream.close("idle session closed by the proxy")
         return True
 
     def end_idle_transaction(self, limit_s: float, reason: str) -> None:
-        """Roll a transaction back whose caller has been idle too long."""
+        """Roll back the transaction if its caller has been idle too long."""
         if self.session is None or not self.is_waiting:
             return
         if self.session.is_idle_too_long(limit_s):
--- a/ebonyrack/entry/conftest.py
+++ b/ebonyrack/entry/conftest.py
@@ -1,4 +1,4 @@
-"""Fixtures: a whole platform of stand-ins, and callers of its proxies."""
+"""Fixtures: a simulated platform and callers of its proxies."""
 
 from collections.abc import AsyncIterator
 from collections.abc import Awaitable
@@ -13,7 +13,7 @@
 
 @pytest.fixture
 async def system() -> AsyncIterator[LineSystem]:
-    """Run a platform with one proxy."""
+    """Run a simulated platform with one proxy."""
     async with LineSystem() as running:
         yield running
 
@@ -22,7 +22,7 @@
 async def connect(
     system: LineSystem,
 ) -> AsyncIterator[Callable[..., Awaitable[LineCaller]]]:
-    """Open sessions of callers, closed at the end of the test."""
+    """Return a function that opens caller sessions, closed after the test."""
     async with AsyncExitStack() as stack:
 
         async def open_caller(database: str, proxy: int = 0) -> LineCaller:
--- a/ebonyrack/entry/listener.py
+++ b/ebonyrack/entry/listener.py
@@ -1,4 +1,4 @@
-"""Takes callers' connections and ends them at a shutdown."""
+"""Accepts callers' connections and drains them at shutdown."""
 
 from __future__ import annotations
 
@@ -15,26 +15,26 @@
 from ebonyrack.requests.codec import CallerCodec
 from ebonyrack.serving.services import Services
 
-# Connections that wait to be accepted; a herd of callers may return at once.
+# Connections that may wait to be accepted; many callers may reconnect at once.
 BACKLOG = 1024
-# Between two looks for transactions whose callers are idle too long.
-IDLE_LOOK_S = 0.25
-# The balancer takes a VM out after two questions without a yes, one each second.
-BALANCER_NOTICE_S = 2.2
-# Kept of the grace time for the end of the process itself.
+# Interval between checks for transactions whose callers are idle too long.
+IDLE_CHECK_INTERVAL_S = 0.25
+# The load balancer takes a VM out after two failed probes, sent once a second.
+BALANCER_REMOVAL_S = 2.2
+# Part of the grace period that is reserved for the exit of the process.
 EXIT_RESERVE_S = 0.7
-DRAIN_LOOK_S = 0.02
+DRAIN_CHECK_INTERVAL_S = 0.02
 
 
 class Listener(Component):
-    """Serves callers on one address.
+    """Accepts callers on one address and serves each in a task of its own.
 
     Attributes:
-        services: What all sessions share.
-        codec: Protocol of callers.
-        server: The listening socket, while open.
-        connections: Callers with their tasks.
-        idle_task: Ends transactions of idle callers.
+        services: State shared by all sessions.
+        codec: Protocol spoken with callers.
+        server: The listening socket, or None until it is opened.
+        connections: Callers' connections by the task that serves them.
+        idle_task: Task that ends transactions of idle callers.
     """
 
     __slots__ = ("services", "codec", "server", "connections", "idle_task")
@@ -47,7 +47,7 @@
         self.idle_task: asyncio.Task[None] | None = None
 
     async def start(self) -> None:
-        """Listen."""
+        """Start to listen."""
         address = self.services.settings.caller_address
         self.server = await asyncio.get_running_loop().create_server(
             lambda: LineStream(self.accept),
@@ -55,53 +55,54 @@
             address.port,
             backlog=BACKLOG,
         )
-        self.idle_task = start_loop(self.watch_idle)
+        self.idle_task = start_loop(self.end_idle_transactions)
 
     async def stop(self) -> None:
-        """Stop listening and cut what still runs."""
+        """Stop listening and cancel the sessions that are left."""
         if self.server is not None:
             self.server.close()
         await end_tasks([self.idle_task, *self.connections])
 
     def accept(self, stream: LineStream) -> None:
-        """Start the task of a new caller."""
+        """Start a task that serves a new connection."""
         connection = CallerConnection(self.services, self.codec, stream)
         task = asyncio.create_task(connection.serve())
         self.connections[task] = connection
-        task.add_done_callback(self.note_ended)
+        task.add_done_callback(self.handle_task_end)
 
-    def note_ended(self, task: asyncio.Task[None]) -> None:
-        """Forget a caller; a task that broke is logged."""
+    def handle_task_end(self, task: asyncio.Task[None]) -> None:
+        """Remove the connection of a finished task; log the error of a failed one."""
         self.connections.pop(task, None)
         if not task.cancelled() and task.exception() is not None:
             logger.opt(exception=task.exception()).error("caller_task_failed")
 
-    async def watch_idle(self) -> None:
-        """End transactions whose callers are idle too long, until cancelled."""
+    async def end_idle_transactions(self) -> None:
+        """Roll back transactions whose callers are idle too long, until cancelled."""
         while True:
-            await asyncio.sleep(IDLE_LOOK_S)
+            await asyncio.sleep(IDLE_CHECK_INTERVAL_S)
             limit_s = self.services.routes.table.transaction_idle_s
             for connection in list(self.connections.values()):
                 connection.end_idle_transaction(limit_s, "the caller was idle")
 
-    def shed_idle(self) -> int:
-        """End the sessions that wait for a request; return how many there were."""
+    def close_idle_sessions(self) -> int:
+        """Close sessions that are idle outside a transaction; return their number."""
         return sum(c.end_if_idle() for c in list(self.connections.values()))
 
     async def drain(self, grace_s: float) -> int:
-        """Let callers finish and end their sessions.
+        """Let callers finish their transactions and end their sessions.
 
-        New callers are served until the balancer has noticed; then sessions end
-        between requests. Open transactions have the first half of the time.
+        New callers are accepted until the load balancer has noticed the shutdown; from
+        then on sessions end between requests. Open transactions may continue for the
+        first half of the time.
 
         Args:
             grace_s: Seconds until the process is killed.
 
         Returns:
-            Number of sessions that were cut.
+            Number of sessions that are still open and will be cut.
         """
         started_s = now_s()
-        await asyncio.sleep(min(BALANCER_NOTICE_S, grace_s / 2))
+        await asyncio.sleep(min(BALANCER_REMOVAL_S, grace_s / 2))
         if self.server is not None:
             self.server.close()
         while self.connections and now_s() < started_s + grace_s - EXIT_RESERVE_S:
@@ -110,5 +111,5 @@
                 connection.close_when_idle()
                 if is_late:
                     connection.end_idle_transaction(0.0, "the proxy shuts down")
-            await asyncio.sleep(DRAIN_LOOK_S)
+            await asyncio.sleep(DRAIN_CHECK_INTERVAL_S)
         return len(self.connections)
--- a/ebonyrack/entry/primary_watch.py
+++ b/ebonyrack/entry/primary_watch.py
@@ -1,4 +1,4 @@
-"""Watches one group's primary: samples its positions, has a lost one replaced."""
+"""Monitors one group's primary: samples its log position, replaces a lost one."""
 
 from __future__ import annotations
 
@@ -24,40 +24,42 @@
 from ebonyrack.promotion.promoter import PromotionResult
 from ebonyrack.serving.statement import record_begin_reply
 
-# Between two looks at a primary.
-LOOK_S = 0.1
-# A position this old is asked for again; the youngest age that routes state is well
-# above a second.
-SAMPLE_AGE_S = 0.4
-# The same while each question needs a connection of its own.
-COSTLY_SAMPLE_AGE_S = 1.0
-# One question. A primary that is only busy answers in a few milliseconds, as the
-# question takes no slot.
-QUESTION_TIMEOUT_S = 0.8
-# Name under which questions wait for a connection.
-QUESTIONER = "ebonyrack"
-# Proxies that see the same loss don't ask for the duty at the same moment.
-DUTY_SPREAD_S = 0.05
-# An upstream that was silent this long is asked on another connection.
-SILENT_S = 0.25
-# The process was away if a look comes later than this; silence is counted anew then.
-AWAY_S = 0.3
-# After an attempt that did not end with a new primary.
-RETRY_PAUSE_S = 0.3
+CHECK_INTERVAL_S = 0.1
+# A position sample is renewed at this age; the lowest maximum staleness that routes
+# set is well above 1 s.
+MAXIMUM_SAMPLE_AGE_S = 0.4
+# The same limit while each probe has to open a connection of its own.
+MAXIMUM_COSTLY_SAMPLE_AGE_S = 1.0
+# A primary that is only busy answers a probe within a few milliseconds, because a
+# probe takes none of its request slots.
+PROBE_TIMEOUT_S = 0.8
+# Caller name under which probes wait for a connection.
+PROBE_CALLER = "ebonyrack"
+# Keeps proxies that detect the same loss from requesting the promotion lease at the
+# same moment.
+PROMOTION_JITTER_S = 0.05
+# An upstream that has been silent this long is probed on another connection.
+PROBE_AFTER_SILENCE_S = 0.25
+# A check that is later than this shows that this process was paused; the silence of
+# upstreams is then measured from the beginning.
+PAUSE_THRESHOLD_S = 0.3
+# Delay after a promotion attempt that did not produce a new primary.
+PROMOTION_RETRY_DELAY_S = 0.3
 
 
 class PrimaryWatch(Component):
-    """Keeps what is known of one group's primary fresh.
+    """Checks one group's primary continuously and replaces it when it is lost.
 
     Attributes:
         group: The group.
-        promoter: Changes its primary.
-        is_discovery_complete: Tells whether all upstreams have had time to be known.
-        tasks: Look at the primary, ask questions, change it.
-        questions: Questions that wait for an answer, by upstream.
+        promoter: Promotes another upstream to primary.
+        is_discovery_complete: Returns whether all upstreams have had time to be
+            discovered.
+        tasks: The tasks that check the primary and replace it.
+        probes: Probes in flight, by upstream.
     """
 
-    __slots__ = ("group", "promoter", "is_discovery_complete", "tasks", "questions")
+    __slots__ = ("group", "promoter", "is_discovery_complete", "tasks", "probes")
 
     def __init__(
         self,
@@ -69,58 +71,61 @@
         self.promoter = promoter
         self.is_discovery_complete = is_discovery_complete
         self.tasks: list[asyncio.Task[None]] = []
-        self.questions: dict[str, asyncio.Task[None]] = {}
+        self.probes: dict[str, asyncio.Task[None]] = {}
 
     async def start(self) -> None:
-        """Start to watch."""
+        """Start the check and replacement tasks."""
         self.tasks = [
-            start_loop(self.look_forever),
+            start_loop(self.check_forever),
             start_loop(self.replace_forever),
         ]
 
     async def stop(self) -> None:
-        """Stop to watch."""
-        await end_tasks([*self.tasks, *self.questions.values()])
+        """Cancel all tasks, also the probes in flight."""
+        await end_tasks([*self.tasks, *self.probes.values()])
 
-    async def look_forever(self) -> None:
-        """Look at the upstreams until cancelled."""
-        pauses = PauseDetector(AWAY_S, boot_time_s)
+    async def check_forever(self) -> None:
+        """Check the upstreams until cancelled."""
+        pauses = PauseDetector(PAUSE_THRESHOLD_S, boot_time_s)
         while True:
-            pauses.schedule(LOOK_S)
-            await self.group.changed.wait(LOOK_S * random.uniform(0.8, 1.2))
-            self.note_pause(pauses.measure_pause())
-            self.look_at_silent()
+            pauses.schedule(CHECK_INTERVAL_S)
+            await self.group.changed.wait(CHECK_INTERVAL_S * random.uniform(0.8, 1.2))
+            self.handle_pause(pauses.measure_pause())
+            self.probe_silent()
             self.group.trim_idle_connections()
             primary = self.group.primary
             if primary is None or self.group.health is not PrimaryHealth.SERVING:
                 for member in list(self.group.members.values()):
-                    self.ask(member)
+                    self.start_probe(member)
             elif self.is_sample_due():
-                self.ask(primary)
+                self.start_probe(primary)
             self.group.update_health()
 
     def is_sample_due(self) -> bool:
-        """Whether the primary should be asked for its position again."""
+        """Whether the position sample of the primary is due to be renewed."""
         is_costly = self.group.is_short_of_connections
-        limit_s = COSTLY_SAMPLE_AGE_S if is_costly else SAMPLE_AGE_S
+        limit_s = MAXIMUM_COSTLY_SAMPLE_AGE_S if is_costly else MAXIMUM_SAMPLE_AGE_S
         return self.group.position_history.measure_age(boot_time_s()) > limit_s
 
-    def note_pause(self, away_s: float) -> None:
-        """Count silence anew after this process was away itself."""
-        if away_s == 0.0:
+    def handle_pause(self, pause_s: float) -> None:
+        """Measure silence from the beginning after a pause of this process."""
+        if pause_s == 0.0:
             return
-        logger.bind(group=self.group.name, away_s=round(away_s, 3)).warning(
+        logger.bind(group=self.group.name, away_s=round(pause_s, 3)).warning(
             "proxy_was_away"
         )
         for member in self.group.members.values():
             member.liveness.reset_silence()
 
-    def look_at_silent(self) -> None:
-        """Ask upstreams that are silent; give up what can be read elsewhere."""
+    def probe_silent(self) -> None:
+        """Probe silent upstreams; abandon exchanges that can run elsewhere."""
         for member in list(self.group.members.values()):
             silent_s = member.liveness.measure_silence()
-            if silent_s > SILENT_S or member.liveness.refused_since_s is not None:
-                self.ask(member)
+            if (
+                silent_s > PROBE_AFTER_SILENCE_S
+                or member.liveness.refused_since_s is not None
+            ):
+                self.start_probe(member)
             limit_s = member.silence_limit_s
             abandoned_for_s = boot_time_s() - member.abandoned_at_s
             if silent_s <= limit_s or abandoned_for_s <= limit_s:
@@ -135,47 +140,47 @@
                     exchanges=count,
                 ).info("upstream_abandoned")
 
-    def ask(self, member: Member) -> None:
-        """Ask an upstream whether it leads, unless a question is under way."""
-        if member.member_id in self.questions:
+    def start_probe(self, member: Member) -> None:
+        """Start to probe an upstream, unless a probe is in flight already."""
+        if member.member_id in self.probes:
             return
-        task = asyncio.create_task(self.question(member))
-        self.questions[member.member_id] = task
-        task.add_done_callback(lambda _: self.questions.pop(member.member_id, None))
+        task = asyncio.create_task(self.probe(member))
+        self.probes[member.member_id] = task
+        task.add_done_callback(lambda _: self.probes.pop(member.member_id, None))
 
-    async def question(self, member: Member) -> None:
-        """Ask an upstream whether it leads; the group is told what it answers."""
+    async def probe(self, member: Member) -> None:
+        """Ask an upstream whether it is the primary; record the answer in the group."""
         try:
-            link = await member.pool.acquire(QUESTIONER, now_s() + QUESTION_TIMEOUT_S)
+            link = await member.pool.acquire(PROBE_CALLER, now_s() + PROBE_TIMEOUT_S)
         except (RequestError, UpstreamLostError) as error:
             logger.bind(
                 group=self.group.name, upstream=member.member_id, reason=str(error)
-            ).debug("question_not_sent")
+            ).debug("probe_not_sent")
             return
         try:
-            began, asked_at_s = await link.probe_primary(QUESTION_TIMEOUT_S)
+            reply, asked_at_s = await link.probe_primary(PROBE_TIMEOUT_S)
         except (UpstreamLostError, ReplyTimeoutError) as error:
             logger.bind(
                 group=self.group.name, upstream=member.member_id, reason=repr(error)
-            ).info("question_unanswered")
+            ).info("probe_unanswered")
             return
         finally:
             member.pool.release(link)
-        member.record_position(began.position)
-        record_begin_reply(self.group, member, began, asked_at_s)
+        member.record_position(reply.position)
+        record_begin_reply(self.group, member, reply, asked_at_s)
 
     async def replace_forever(self) -> None:
-        """Have a lost or leaving primary replaced until cancelled."""
+        """Replace a lost or leaving primary, until cancelled."""
         while True:
-            await asyncio.sleep(LOOK_S)
+            await asyncio.sleep(CHECK_INTERVAL_S)
             health = self.group.health
             if not health.needs_promotion or not self.group.members:
                 continue
             if not self.is_discovery_complete():
                 continue
-            await asyncio.sleep(random.uniform(0, DUTY_SPREAD_S))
+            await asyncio.sleep(random.uniform(0, PROMOTION_JITTER_S))
             if self.group.update_health() is not health:
                 continue
             result = await self.promoter.run(health)
             if result is not PromotionResult.PROMOTED:
-                await asyncio.sleep(RETRY_PAUSE_S * random.uniform(0.7, 1.3))
+                await asyncio.sleep(PROMOTION_RETRY_DELAY_S * random.uniform(0.7, 1.3))
--- a/ebonyrack/entry/route_proxy.py
+++ b/ebonyrack/entry/route_proxy.py
@@ -1,4 +1,4 @@
-"""The running proxy for routes: owns all of its parts, from start to drained."""
+"""The route proxy process: starts, supervises and drains its components."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from ebonyrack.core.route_settings import RouteProxySettings
 from ebonyrack.core.tasks import end_tasks
 from ebonyrack.core.tasks import start_loop
-from ebonyrack.entry.listener import BALANCER_NOTICE_S
+from ebonyrack.entry.listener import BALANCER_REMOVAL_S
 from ebonyrack.entry.listener import Listener
 from ebonyrack.entry.primary_watch import PrimaryWatch
 from ebonyrack.members.directory import DecodeEntry
@@ -37,42 +37,43 @@
 from ebonyrack.store.leasing_store import LeasingStore
 from ebonyrack.store.leasing_store import StoreChanges
 
-LOOK_S = 0.5
-# A watch of the document returns with each change; a connection that went silent is
-# noticed by its keep-alive probes. The platform holds a watch for 30 s at most.
+MONITOR_INTERVAL_S = 0.5
+# A watch of the document returns early with each change; a silent connection is
+# detected by its keep-alive probes. The platform holds a watch for 30 s at most.
 DOCUMENT_WATCH_S = 25.0
-# Upstreams that leave serve on for at least twice as long.
-ENTRIES_PAUSE_S = 3.0
-# Connections are divided anew within this time and the pools' own limits. Names that
-# are some seconds old will do, as names that have gone count longer than that.
-PROXIES_PAUSE_S = 10.0
-# Without store and primary for this long, a proxy counts as cut off from both; the
-# store is asked at least every two seconds, a primary several times a second.
+# An upstream that is leaving keeps serving for at least twice as long.
+ENTRIES_READ_INTERVAL_S = 3.0
+# Connection shares are recomputed within this time and the pools' own limits. A list
+# of proxies that is some seconds old is recent enough, because proxies that have gone
+# are counted for longer than that.
+PROXIES_READ_INTERVAL_S = 10.0
+# A proxy that gets no answer from the store and from a primary for this long counts as
+# isolated; the store is queried at least every 2 s, a primary several times a second.
 ISOLATED_AFTER_S = 1.0
-# Share in the queues by priority, the highest first; lower ones count 1.
+# Weight in the queues by priority of the route, 0 the highest; all others weigh 1.
 PRIORITY_WEIGHTS = {0: 8, 1: 4, 2: 2}
 
 
 class RouteDecoder(Protocol):
-    """Reads the routes out of their stored form."""
+    """Decodes routes from their stored form."""
 
     def __call__(self, value: bytes, /) -> Result[RouteTable, str]:
-        """Decode the routes."""
+        """Decode the routes, or return why they are invalid."""
 
 
 @dataclass(frozen=True, slots=True)
 class ProxyDependencies:
-    """What the proxy meets, behind interfaces that an adapter fills.
+    """Platform services and protocols that an adapter injects into the proxy.
 
     Attributes:
-        store: The platform's store.
-        orders: Takes orders to change a primary.
-        caller_codec: Protocol of callers.
-        upstream_codec: Protocol of upstreams.
-        document_key: Key of the operators' routes.
-        decode_document: Reads them.
-        entry_prefix: Start of the keys of upstreams' entries.
-        decode_entry: Reads one.
+        store: The platform's key-value store.
+        orders: Accepts orders to change a primary.
+        caller_codec: Protocol spoken with callers.
+        upstream_codec: Protocol spoken with upstreams.
+        document_key: Key of the operators' routes in the store.
+        decode_document: Decodes the operators' routes.
+        entry_prefix: Prefix of the keys of upstreams' entries.
+        decode_entry: Decodes the entry of one upstream.
     """
 
     store: LeasingStore
@@ -86,21 +87,21 @@
 
 
 class RouteProxy(Component):
-    """One proxy process: an async context manager that runs all parts.
+    """One proxy process: an async context manager that runs all components.
 
     Attributes:
         settings: Settings of the process.
-        dependencies: What the proxy meets.
-        services: What callers' sessions use.
-        directory: The upstreams that the store names.
-        presence: The proxies that live.
+        dependencies: Platform services and protocols.
+        services: State shared by callers' sessions.
+        directory: The upstreams that are registered in the store.
+        presence: The live proxies.
         store_availability: Whether the store answers.
-        followers: Follow the parts of the store.
-        listener: Takes callers' connections.
-        watches: Watch of each group's primary.
-        isolated_since_s: Time since which others serve callers better, or None; it
-            starts anew when callers were let go.
-        discovery_completed: Whether all upstreams have once had time to be known.
+        followers: Apply changes of entries, routes and proxies in the store.
+        listener: Accepts callers' connections.
+        watches: Monitor of each group's primary, by name of the group.
+        isolated_since_s: Time since which the proxy is isolated, or None; reset to the
+            current time whenever idle sessions are closed.
+        discovery_completed: Whether all upstreams have once had time to be discovered.
     """
 
     def __init__(
@@ -113,14 +114,16 @@
             dependencies.entry_prefix, dependencies.decode_entry, self.services.groups
         )
         self.presence = Presence(
-            dependencies.store, settings.name, self.divide_connections
+            dependencies.store, settings.name, self.update_connection_shares
         )
         store = dependencies.store
         self.store_availability = StoreAvailability()
         self.followers = (
             StoreFollower(
                 store,
-                FollowOptions(dependencies.entry_prefix, pause_s=ENTRIES_PAUSE_S),
+                FollowOptions(
+                    dependencies.entry_prefix, pause_s=ENTRIES_READ_INTERVAL_S
+                ),
                 self.directory.apply,
                 self.lacks_upstreams,
                 self.store_availability,
@@ -129,14 +132,14 @@
             StoreFollower(
                 store,
                 FollowOptions(dependencies.document_key, watch_s=DOCUMENT_WATCH_S),
-                self.apply_document,
+                self.apply_store_changes,
                 lambda: False,
                 self.store_availability,
             ),
             StoreFollower(
                 store,
                 FollowOptions(
-                    PROXIES_PREFIX, pause_s=PROXIES_PAUSE_S, allow_stale=True
+                    PROXIES_PREFIX, pause_s=PROXIES_READ_INTERVAL_S, allow_stale=True
                 ),
                 self.presence.apply,
                 lambda: False,
@@ -148,11 +151,11 @@
         self.discovery_completed = False
         self.isolated_since_s: float | None = None
         self.stack = AsyncExitStack()
-        self.surroundings_task: asyncio.Task[None] | None = None
+        self.monitor_task: asyncio.Task[None] | None = None
 
     @property
     def is_ready(self) -> bool:
-        """Whether callers should be sent here."""
+        """Whether the load balancer should send callers here."""
         if self.services.drain.is_draining or not self.directory.is_loaded:
             return False
         groups = self.services.groups.values()
@@ -160,10 +163,10 @@
         return has_upstreams and not self.is_isolated()
 
     def is_isolated(self) -> bool:
-        """Whether callers are served better by another proxy.
+        """Whether another proxy would serve callers better.
 
-        That is so if neither the store nor some group's primary can be reached from
-        here for a while: the others may have replaced it meanwhile.
+        True if neither the store nor some group's primary has been reachable from here
+        for a while: other proxies may have replaced that primary meanwhile.
         """
         if self.store_availability.compute_unavailable_s() < ISOLATED_AFTER_S:
             return False
@@ -171,9 +174,10 @@
         return any(group.measure_outage() > ISOLATED_AFTER_S for group in groups)
 
     def shed_if_isolated(self) -> None:
-        """Let idle callers connect to other proxies while this one can't serve them.
+        """Close idle sessions while isolated, so that callers use other proxies.
 
-        The balancer is given time to notice first, or they would come back here.
+        The load balancer gets time to notice first; otherwise callers would reconnect
+        to this proxy.
         """
         if not self.is_isolated():
             self.isolated_since_s = None
@@ -182,23 +186,23 @@
         if self.isolated_since_s is None:
             self.isolated_since_s = now
             logger.warning("proxy_isolated")
-        elif now - self.isolated_since_s > BALANCER_NOTICE_S:
-            count = self.listener.shed_idle()
+        elif now - self.isolated_since_s > BALANCER_REMOVAL_S:
+            count = self.listener.close_idle_sessions()
             logger.bind(sessions=count).info("idle_callers_shed")
             self.isolated_since_s = now
 
     def lacks_upstreams(self) -> bool:
-        """Whether the store should be asked more often than usual."""
+        """Whether a group lacks upstreams, so that the store is read more often."""
         groups = self.services.groups.values()
         return any(group.lacks_upstreams for group in groups)
 
     async def start(self) -> None:
-        """Start all parts."""
+        """Start all components."""
         await self.stack.enter_async_context(self.listener)
         for follower in self.followers:
             await self.stack.enter_async_context(follower)
         await self.stack.enter_async_context(self.presence)
-        self.surroundings_task = start_loop(self.watch_surroundings)
+        self.monitor_task = start_loop(self.monitor_connectivity)
         self.services.drain.serve()
         logger.bind(
             address=str(self.settings.caller_address),
@@ -206,8 +210,8 @@
         ).info("proxy_started")
 
     async def stop(self) -> None:
-        """Stop all parts."""
-        await end_tasks([self.surroundings_task])
+        """Stop all components."""
+        await end_tasks([self.monitor_task])
         await self.stack.aclose()
         for watch in self.watches.values():
             await watch.stop()
@@ -216,34 +220,34 @@
         logger.info("proxy_stopped")
 
     async def serve(self) -> int:
-        """Serve callers until a shutdown is asked for, then drain.
+        """Serve callers until a shutdown is requested, then drain.
 
         Returns:
-            The number of sessions that the shutdown cut.
+            Number of sessions that the shutdown cut.
         """
         await self.services.drain.requested.wait()
-        cut = await self.listener.drain(self.settings.grace_s)
+        cut_sessions = await self.listener.drain(self.settings.grace_s)
         self.services.drain.finish()
-        logger.bind(cut_sessions=cut).info("proxy_drained")
-        return cut
+        logger.bind(cut_sessions=cut_sessions).info("proxy_drained")
+        return cut_sessions
 
-    async def apply_document(self, changes: StoreChanges) -> None:
-        """Take over the operators' routes."""
+    async def apply_store_changes(self, changes: StoreChanges) -> None:
+        """Apply a change of the operators' routes in the store."""
         for item in changes.items:
             if item.key == self.dependencies.document_key:
-                await self.offer_document(item.value)
+                await self.apply_document(item.value)
 
-    async def offer_document(self, value: bytes) -> None:
-        """Put the operators' routes in force, unless they can't be read."""
-        found = self.dependencies.decode_document(value)
-        if isinstance(found, Err):
-            logger.bind(reason=found.err_value).error("routes_rejected")
+    async def apply_document(self, value: bytes) -> None:
+        """Put the operators' routes in force, unless they can't be decoded."""
+        result = self.dependencies.decode_document(value)
+        if isinstance(result, Err):
+            logger.bind(reason=result.err_value).error("routes_rejected")
             return
-        if self.services.routes.apply_if_newer(found.ok_value, "store"):
-            await self.apply_routes(found.ok_value)
+        if self.services.routes.apply_if_newer(result.ok_value, "store"):
+            await self.apply_routes(result.ok_value)
 
     async def apply_routes(self, table: RouteTable) -> None:
-        """Bring the groups to the routes in force."""
+        """Update, create and remove groups to match the routes in force."""
         groups = self.services.groups
         for name, limits in table.groups.items():
             if name in groups:
@@ -261,7 +265,7 @@
         for name in set(groups) - set(table.groups):
             await self.watches.pop(name).stop()
             await groups.pop(name).stop()
-        self.divide_connections()
+        self.update_connection_shares()
         weights = {
             database.decode("utf-8", "replace"): PRIORITY_WEIGHTS.get(route.priority, 1)
             for database, route in table.routes.items()
@@ -270,7 +274,7 @@
             group.set_weights(weights)
 
     async def start_watch(self, group: Group) -> None:
-        """Start to watch a group's primary."""
+        """Start to monitor a group's primary."""
         promoter = Promoter(
             group,
             self.dependencies.store,
@@ -282,10 +286,11 @@
         await watch.start()
 
     def is_discovery_complete(self) -> bool:
-        """Whether every upstream that lives has had time to be known here.
+        """Whether every live upstream has had time to be discovered.
 
-        Entries that lapsed during an outage of the store come back some time after
-        it. A successor chosen before that could lack what an unknown one holds.
+        Entries that expired during an outage of the store reappear some time after it.
+        A replica promoted before that could lack writes that an undiscovered upstream
+        holds.
         """
         if not self.discovery_completed:
             self.discovery_completed = (
@@ -293,15 +298,15 @@
             )
         return self.discovery_completed
 
-    def divide_connections(self) -> None:
-        """Set this proxy's share of the upstreams' connections."""
+    def update_connection_shares(self) -> None:
+        """Set this proxy's share of the connections to the upstreams."""
         for group in self.services.groups.values():
             group.update_connection_share(self.presence.live_count)
 
-    async def watch_surroundings(self) -> None:
-        """Act on what stays away too long, until cancelled."""
+    async def monitor_connectivity(self) -> None:
+        """Handle isolation and missing upstreams, until cancelled."""
         while True:
-            await asyncio.sleep(LOOK_S)
+            await asyncio.sleep(MONITOR_INTERVAL_S)
             self.shed_if_isolated()
             await self.directory.remove_missing(
                 self.store_availability.available_since_s, MISSING_ENTRY_LIMIT_S
--- a/ebonyrack/entry/session_rules_test.py
+++ b/ebonyrack/entry/session_rules_test.py
@@ -1,4 +1,4 @@
-"""What a caller may rely on in its session, over real connections."""
+"""Guarantees of a caller's session, checked over real connections."""
 
 import asyncio
 
@@ -12,9 +12,7 @@
     return [each for each in system.group.records if each.text == text]
 
 
-async def test_a_write_is_read_back_and_both_carry_the_upstreams_signature(
-    system, connect
-):
+async def test_write_and_read_back_carry_the_upstream_signature(system, connect):
     caller = await connect("booking")
     assert caller.greeting == "READY I -"
     write = await caller.ask("WRITE slot-1 mali")
@@ -25,9 +23,7 @@
     assert read[1].removeprefix("COMPLETE ") in signatures
 
 
-async def test_a_session_reads_its_own_write_from_replicas_that_apply_late(
-    system, connect
-):
+async def test_session_reads_its_own_writes_despite_replication_lag(system, connect):
     for member in system.group.members.values():
         member.apply_delay_s = 0.2
     caller = await connect("confirmation")
@@ -36,7 +32,7 @@
         assert (await caller.ask("READ rig-1"))[0] == f"DATAROW v{number}"
 
 
-async def test_a_read_of_a_stated_age_sees_what_is_older(system, connect):
+async def test_read_with_maximum_staleness_sees_older_writes(system, connect):
     await (await connect("booking")).ask("WRITE slot-1 mali")
     system.group.members["up-3"].is_deaf = True
     await (await connect("booking")).ask("WRITE slot-1 somchai")
@@ -46,7 +42,7 @@
         assert (await caller.ask("READ slot-1"))[0] == "DATAROW somchai"
 
 
-async def test_without_a_fresh_position_only_the_proved_primary_is_read(
+async def test_read_uses_the_confirmed_primary_without_a_fresh_position(
     system, connect, monkeypatch
 ):
     monkeypatch.setattr(
@@ -59,11 +55,9 @@
     assert run.is_in_transaction
 
 
-async def test_a_statement_never_runs_beside_a_transaction_that_was_refused(
-    system, connect
-):
-    # A replica lacks the position and refuses to begin; a read sent along with the
-    # beginning would run outside the transaction.
+async def test_statement_never_runs_outside_a_refused_transaction(system, connect):
+    # A replica that lacks the position refuses BEGIN; a read sent together with it
+    # would run outside the transaction.
     await (await connect("booking")).ask("WRITE slot-1 mali")
     caller = await connect("confirmation")
     await caller.ask("WRITE slot-2 somchai")
@@ -77,7 +71,7 @@
     assert (await caller.ask("COMMIT"))[0].startswith("COMPLETE sig")
 
 
-async def test_a_transaction_stays_on_one_connection_and_commits_once(system, connect):
+async def test_transaction_stays_on_one_connection_and_commits_once(system, connect):
     caller, other = await connect("booking"), await connect("booking")
     await caller.ask("BEGIN")
     await caller.ask("WRITE slot-1 mali")
@@ -92,7 +86,7 @@
     assert len(sessions) == 1
 
 
-async def test_values_of_one_caller_never_meet_statements_of_another(system, connect):
+async def test_session_values_do_not_leak_between_callers(system, connect):
     first, second = await connect("booking"), await connect("booking")
     assert (await first.ask("SET zone bangkok"))[0] == DONE
     await first.ask("READ slot-1")
@@ -104,7 +98,7 @@
     assert values["READ slot-3"] == {"zone": "bangkok"}
 
 
-async def test_names_of_prepared_statements_may_collide(system, connect):
+async def test_callers_may_use_the_same_prepared_statement_name(system, connect):
     first, second = await connect("booking"), await connect("booking")
     await first.ask("PREPARE s1 WRITE shape-a")
     await second.ask("PREPARE s1 READ shape-b")
@@ -114,9 +108,7 @@
     assert (await second.ask("EXECUTE s1 slot-1"))[0].startswith("ERROR NOSTMT")
 
 
-async def test_what_cannot_be_understood_is_refused_and_disturbs_nothing(
-    system, connect
-):
+async def test_malformed_request_is_refused_and_the_session_continues(system, connect):
     caller = await connect("booking")
     for line in (b"NONSENSE\r\n", b"QUERY 1\r\n", b"QUERY 1 DROP x\r\n", b"\xff\r\n"):
         answer = await caller.send_line(line)
@@ -125,19 +117,19 @@
     assert (await caller.ask("READ slot-1"))[0] == "DATAROW none"
 
 
-async def test_a_message_that_is_too_long_ends_the_session(system, connect):
+async def test_oversized_message_ends_the_session(system, connect):
     caller = await connect("booking")
     line = b"QUERY 1 WRITE x " + b"y" * (1024 * 1024 + 100) + b"\r\n"
     answer = await caller.send_line(line)
     assert not answer or answer[0].startswith("ERROR TOOLARGE")
 
 
-async def test_an_unknown_database_is_refused(system, connect):
+async def test_unknown_database_is_refused(system, connect):
     caller = await connect("nowhere")
     assert caller.greeting.startswith("ERROR NODB")
 
 
-async def test_a_failed_transaction_can_only_be_rolled_back(system, connect):
+async def test_failed_transaction_can_only_be_rolled_back(system, connect):
     caller = await connect("booking")
     await caller.ask("BEGIN")
     await caller.ask("WRITE slot-1 mali")
@@ -150,7 +142,7 @@
     assert (await caller.ask("READ slot-1"))[0] == "DATAROW none"
 
 
-async def test_a_route_that_goes_ends_at_the_next_transaction(system, connect):
+async def test_removed_route_is_refused_from_the_next_transaction(system, connect):
     caller = await connect("booking")
     document = build_document(2)
     document["routes"] = document["routes"][1:]
@@ -164,7 +156,7 @@
     assert (await caller.ask("READ slot-1"))[0].startswith("ERROR NODB")
 
 
-async def test_an_older_or_broken_document_is_never_put_in_force(system, connect):
+async def test_older_or_malformed_document_is_never_put_in_force(system, connect):
     routes = system.proxies[0].proxy.services.routes
     await system.service.put_json("op/config", build_document(5))
     while routes.table.version < 5:
@@ -177,7 +169,7 @@
     assert len(routes.table.routes) == 3
 
 
-async def test_a_transaction_whose_caller_rests_is_ended(system, connect):
+async def test_idle_transaction_is_rolled_back(system, connect):
     document = build_document(2)
     document["limits"]["txIdleMs"] = 200
     await system.service.put_json("op/config", document)
