--- a/ebonyrack/pooling/__init__.py
+++ b/ebonyrack/pooling/__init__.py
@@ -1,1 +1,1 @@
-"""Bounded pools of upstream connections and the queues before them."""
+"""Bounded pools of upstream connections and the queues in front of them."""
--- a/ebonyrack/pooling/admission.py
+++ b/ebonyrack/pooling/admission.py
@@ -1,4 +1,4 @@
-"""Bounded waiting for a connection: fairness, refusal at once, time to come back."""
+"""Bounded, fair queue for connections that refuses excess requests at once."""
 
 from __future__ import annotations
 
@@ -17,13 +17,14 @@
 
 
 class Waiter:
-    """One request for a connection.
+    """A request that waits for a connection.
 
     Attributes:
-        caller: Name of the application that asks.
+        caller: Name of the requesting application.
         deadline_s: Monotonic time at which the request gives up.
-        number: Place in the order of arrival.
-        granted: Set when a place is granted; carries what the granter hands over.
+        number: Sequence number of its arrival.
+        granted: Future that the grant completes with the value handed over; None
+            until the request is queued.
     """
 
     __slots__ = ("caller", "deadline_s", "number", "granted")
@@ -40,8 +41,8 @@
     """The waiters of one application.
 
     Attributes:
-        weight: Share of the application relative to the others.
-        progress: Grants so far divided by the weight, on the queue's virtual clock.
+        weight: Weight of the application relative to the others.
+        progress: Grants so far divided by the weight, in the queue's virtual time.
         waiters: Waiters in order of arrival.
     """
 
@@ -51,12 +52,12 @@
 
 
 class AdmissionQueue:
-    """Bounded queue, served in proportion to the weights of the applications.
+    """Bounded queue that serves applications in proportion to their weights.
 
     The application with the least progress is served next (stride scheduling), so
-    a flood from one application costs the others nothing but its own share. When
-    the queue is full, the newest waiter of the application that holds the most for
-    its weight gives way to one that holds less.
+    a flood from one application takes no more than that application's share. When the
+    queue is full, the newest waiter of the application with the most waiters for its
+    weight is refused in favour of an application with fewer.
 
     Attributes:
         limit: Largest number of waiters.
@@ -64,8 +65,8 @@
         callers: Queues of the applications that have waiters.
         virtual_time: Progress of the application served last.
         count: Number of waiters.
-        estimator: How fast its requests are served.
-        arrivals: Numbers for requests in the order of arrival.
+        estimator: Estimates waits from the service times of its requests.
+        arrivals: Sequence numbers for requests in the order of arrival.
     """
 
     __slots__ = (
@@ -98,8 +99,8 @@
             servers: Connections that serve the queue.
 
         Raises:
-            RequestError: WAIT_TOO_LONG if the expected wait passes the deadline,
-                QUEUE_FULL if there is no room.
+            RequestError: WAIT_TOO_LONG if the expected wait ends after the deadline,
+                QUEUE_FULL if the queue has no room for it.
         """
         expected_s = self.estimate_wait(waiter.caller, servers)
         if now_s() + expected_s > waiter.deadline_s:
@@ -111,10 +112,10 @@
         self.insert(waiter)
 
     def insert(self, waiter: Waiter) -> None:
-        """Put a request into its application's queue, in the order of arrival.
+        """Insert a request into its application's queue, in the order of arrival.
 
         Args:
-            waiter: The request, which may have been granted a place before.
+            waiter: The request, which may have been granted a slot before.
         """
         waiter.granted = asyncio.get_running_loop().create_future()
         queue = self.callers.get(waiter.caller)
@@ -122,10 +123,10 @@
             weight = self.weights.get(waiter.caller, 1)
             queue = CallerQueue(weight, self.virtual_time)
             self.callers[waiter.caller] = queue
-        place = len(queue.waiters)
-        while place > 0 and queue.waiters[place - 1].number > waiter.number:
-            place -= 1
-        queue.waiters.insert(place, waiter)
+        index = len(queue.waiters)
+        while index > 0 and queue.waiters[index - 1].number > waiter.number:
+            index -= 1
+        queue.waiters.insert(index, waiter)
         self.count += 1
 
     def pop(self) -> Waiter | None:
@@ -141,7 +142,7 @@
         return waiter
 
     def discard(self, waiter: Waiter) -> None:
-        """Remove a waiter that gives up; one that was taken already is ignored.
+        """Remove a waiter that gives up; ignore one that has left the queue already.
 
         Args:
             waiter: The waiter.
@@ -154,7 +155,7 @@
         self.count -= 1
 
     def drop_if_empty(self, name: str) -> None:
-        """Forget an application without waiters.
+        """Remove the queue of an application that has no waiters.
 
         Args:
             name: Name of the application.
@@ -166,35 +167,37 @@
         """End every wait with an error.
 
         Args:
-            build_error: Builds the error of one waiter.
+            build_error: Builds the error for one waiter.
         """
         while (waiter := self.pop()) is not None:
             fail_waiter(waiter, build_error())
 
     def make_room(self, caller: str, servers: int) -> None:
-        """Refuse the newest waiter of the application that holds the most.
+        """Refuse the newest waiter of the application with the most waiters.
 
         Args:
-            caller: Application of the request that needs the room.
+            caller: Application of the request that needs room in the queue.
             servers: Connections that serve the queue.
 
         Raises:
-            RequestError: QUEUE_FULL if no other application holds more.
+            RequestError: QUEUE_FULL if no other application has more waiters for its
+                weight.
         """
         name = self.find_fullest()
         fullest = self.callers[name]
-        own = self.callers.get(caller)
-        held = len(own.waiters) if own is not None else 0
+        caller_queue = self.callers.get(caller)
+        held = len(caller_queue.waiters) if caller_queue is not None else 0
         load = len(fullest.waiters) / fullest.weight
         if (held + 1) / self.weights.get(caller, 1) >= load:
             raise self.build_refusal(ErrorKind.QUEUE_FULL, "", servers)
         self.refuse_newest(name, servers)
 
-    def put_back(self, waiter: Waiter, servers: int) -> None:
-        """Queue a request again that was granted a place which came to nothing.
+    def requeue(self, waiter: Waiter, servers: int) -> None:
+        """Queue a request again whose granted slot could not be used.
 
-        It keeps its rank. If the queue was filled meanwhile, the newest waiter of
-        the application that holds the most is refused.
+        It keeps its place in the order of arrival. If the queue has filled up
+        meanwhile, the newest waiter of the application with the most waiters for its
+        weight is refused.
 
         Args:
             waiter: The request.
@@ -205,7 +208,7 @@
             self.refuse_newest(self.find_fullest(), servers)
 
     def find_fullest(self) -> str:
-        """Return the application that holds the most for its weight."""
+        """Return the application with the most waiters for its weight."""
         return max(
             self.callers,
             key=lambda name: (
@@ -231,21 +234,21 @@
             caller: Name of the application.
             servers: Connections that serve the queue.
         """
-        own = self.callers.get(caller)
-        place = 1 + (len(own.waiters) if own is not None else 0)
+        caller_queue = self.callers.get(caller)
+        rank = 1 + (len(caller_queue.waiters) if caller_queue is not None else 0)
         weight = self.weights.get(caller, 1)
-        ahead = float(place)
+        ahead = float(rank)
         for name, queue in self.callers.items():
             if name != caller:
-                ahead += min(len(queue.waiters), place * queue.weight / weight)
+                ahead += min(len(queue.waiters), rank * queue.weight / weight)
         return self.estimator.estimate_wait(ahead, servers)
 
     def build_refusal(self, kind: ErrorKind, reason: str, servers: int) -> RequestError:
-        """Build a refusal with a time to come back.
+        """Build a refusal with a retry-after time.
 
         Args:
             kind: Kind of refusal.
-            reason: What happened.
+            reason: Why the request is refused.
             servers: Connections that serve the queue.
 
         Returns:
--- a/ebonyrack/pooling/admission_test.py
+++ b/ebonyrack/pooling/admission_test.py
@@ -11,7 +11,7 @@
 from ebonyrack.pooling.wait_estimator import MAXIMUM_RETRY_S
 from ebonyrack.pooling.wait_estimator import RETRY_JITTER
 
-FAR_S = 3600.0
+LONG_WAIT_S = 3600.0
 
 
 @pytest.fixture
@@ -19,7 +19,7 @@
     return AdmissionQueue(100)
 
 
-def add(queue, caller, wait_s=FAR_S, servers=1):
+def add(queue, caller, wait_s=LONG_WAIT_S, servers=1):
     waiter = Waiter(caller, now_s() + wait_s, next(queue.arrivals))
     queue.add(waiter, servers)
     return waiter
@@ -37,7 +37,7 @@
     assert served == {"booking": 30, "calendar": 10}
 
 
-async def test_newcomer_does_not_wait_behind_a_flood(queue):
+async def test_new_application_does_not_wait_behind_a_flood(queue):
     add_many(queue, "calendar", 90)
     for _ in range(30):
         queue.pop()
@@ -45,7 +45,7 @@
     assert waiter in (queue.pop(), queue.pop())
 
 
-async def test_idle_application_saves_up_no_share(queue):
+async def test_idle_application_accumulates_no_share(queue):
     add_many(queue, "calendar", 60)
     for _ in range(50):
         queue.pop()
@@ -54,7 +54,7 @@
     assert served == {"booking": 5, "calendar": 5}
 
 
-async def test_full_queue_takes_the_place_of_whoever_holds_most(queue):
+async def test_full_queue_refuses_newest_waiter_of_largest_application(queue):
     flood = add_many(queue, "calendar", 100)
     waiter = add(queue, "booking")
     assert len(queue) == 100
@@ -78,7 +78,7 @@
     assert held == {"booking": 75, "calendar": 25}
 
 
-async def test_wait_that_passes_the_deadline_is_refused_at_once(queue):
+async def test_request_is_refused_when_expected_wait_exceeds_deadline(queue):
     for _ in range(100):
         queue.estimator.record_service_time(1.0)
     add_many(queue, "booking", 8)
@@ -91,46 +91,46 @@
     add(queue, "calendar", wait_s=4.0, servers=2)
 
 
-async def test_refused_callers_return_no_faster_than_they_can_be_served(queue):
+async def test_retry_times_do_not_exceed_the_service_rate(queue):
     queue.limit = 10
     add_many(queue, "booking", 10)
-    returns = []
+    retry_times_s = []
     for _ in range(1000):
         with pytest.raises(RequestError) as caught:
             add(queue, "booking")
-        returns.append(caught.value.retry_after_s)
+        retry_times_s.append(caught.value.retry_after_s)
     assert len(queue) == 10
     rate = 1 / queue.estimator.service_s
     for start_s in range(5):
-        in_window = sum(start_s <= value < start_s + 1 for value in returns)
+        in_window = sum(start_s <= value < start_s + 1 for value in retry_times_s)
         assert in_window <= rate * (1 + RETRY_JITTER)
-    assert max(returns) <= MAXIMUM_RETRY_S * (1 + RETRY_JITTER)
+    assert max(retry_times_s) <= MAXIMUM_RETRY_S * (1 + RETRY_JITTER)
 
 
-async def test_return_times_start_again_when_the_crowd_has_gone(queue):
+async def test_retry_times_start_again_after_a_burst(queue):
     queue.limit = 1
     add(queue, "booking")
     for _ in range(100):
         with pytest.raises(RequestError):
             add(queue, "booking")
-    queue.estimator.next_retry_s -= FAR_S
+    queue.estimator.next_retry_s -= LONG_WAIT_S
     with pytest.raises(RequestError) as caught:
         add(queue, "booking")
     assert caught.value.retry_after_s < 0.1
 
 
-async def test_a_request_put_back_keeps_its_rank_and_the_bound(queue):
+async def test_requeued_request_keeps_its_order_and_the_queue_limit(queue):
     first = add(queue, "booking")
     assert queue.pop() is first
     others = add_many(queue, "booking", queue.limit)
-    queue.put_back(first, 2)
+    queue.requeue(first, 2)
     assert len(queue) == queue.limit
     assert queue.pop() is first
     assert others[-1].granted.exception().kind is ErrorKind.QUEUE_FULL
     assert not any(waiter.granted.done() for waiter in others[:-1])
 
 
-async def test_end_of_all_waits_gives_each_its_own_error(queue):
+async def test_fail_all_gives_each_waiter_its_own_error(queue):
     waiters = add_many(queue, "booking", 3)
     waiters[0].granted.cancel()
     queue.fail_all(lambda: asyncio.InvalidStateError("gone"))
@@ -138,18 +138,18 @@
     assert (len(errors), len(queue)) == (2, 0)
 
 
-async def test_crowd_beyond_the_longest_return_time_does_not_come_together(queue):
+async def test_capped_retry_times_are_spread(queue):
     queue.limit = 1
     add(queue, "booking")
     queue.estimator.service_s = 1.0
-    returns = []
+    retry_times_s = []
     for _ in range(3000):
         with pytest.raises(RequestError) as caught:
             add(queue, "booking")
-        returns.append(caught.value.retry_after_s)
-    together = max(
-        sum(start_s <= value < start_s + 1 for value in returns)
+        retry_times_s.append(caught.value.retry_after_s)
+    most_per_second = max(
+        sum(start_s <= value < start_s + 1 for value in retry_times_s)
         for start_s in range(13)
     )
-    assert together < len(returns) / 5
-    assert max(returns) <= MAXIMUM_RETRY_S * (1 + RETRY_JITTER)
+    assert most_per_second < len(retry_times_s) / 5
+    assert max(retry_times_s) <= MAXIMUM_RETRY_S * (1 + RETRY_JITTER)
--- a/ebonyrack/pooling/busy_upstream_test.py
+++ b/ebonyrack/pooling/busy_upstream_test.py
@@ -1,4 +1,4 @@
-"""A burst before an upstream whose own queue is full, and which turns work away."""
+"""Bursts towards an upstream that refuses statements because its queue is full."""
 
 import asyncio
 
@@ -40,7 +40,7 @@
     return asyncio.create_task(pool.acquire("booking", now_s() + WAIT_S))
 
 
-async def test_what_an_upstream_turns_away_waits_in_the_proxy(pool):
+async def test_requests_wait_in_the_pool_after_an_overload(pool):
     working = await acquire_many(pool, SHARE)
     pool.record_overload()
     for connection in working[:4]:
@@ -53,7 +53,7 @@
     assert pool.working_count == SHARE // 2
 
 
-async def test_connections_stay_open_while_fewer_are_used_at_once(pool):
+async def test_overload_closes_no_connections(pool):
     working = await acquire_many(pool, SHARE)
     pool.record_overload()
     for connection in working:
@@ -61,7 +61,7 @@
     assert pool.idle_count == SHARE
 
 
-async def test_a_transaction_that_rests_leaves_its_place_to_others(pool):
+async def test_idle_transaction_does_not_count_against_the_concurrency_limit(pool):
     (connection,) = await acquire_many(pool, 1)
     pool.record_overload()
     waiter = start_waiter(pool)
@@ -72,8 +72,8 @@
     await waiter
 
 
-async def test_the_statements_at_once_rise_again(pool, monkeypatch):
-    monkeypatch.setattr(connection_limit, "REFUSED_LIMIT_S", 0.0)
+async def test_concurrency_limit_rises_again(pool, monkeypatch):
+    monkeypatch.setattr(connection_limit, "REFUSAL_HOLD_S", 0.0)
     monkeypatch.setattr(connection_limit, "RAISE_INTERVAL_S", 0.01)
     working = await acquire_many(pool, SHARE)
     pool.record_overload()
@@ -85,24 +85,24 @@
     assert pool.working_count == SHARE
 
 
-async def test_resting_transactions_leave_one_connection_to_others(pool):
-    # Callers that begin, write and rest hold all connections of the proxy's share.
+async def test_one_overflow_connection_is_opened_beside_idle_transactions(pool):
+    # Callers that begin, write and stay idle hold all connections of the share.
     for connection in await acquire_many(pool, SHARE):
         connection.is_idle_in_transaction = True
     async with asyncio.timeout(WAIT_S):
-        borrowed = await start_waiter(pool)
+        overflow = await start_waiter(pool)
     waiter = start_waiter(pool)
     await asyncio.sleep(0)
     assert pool.open_count == SHARE + 1
-    pool.release(borrowed)
-    assert not borrowed.is_clean
+    pool.release(overflow)
+    assert not overflow.is_clean
     await waiter
 
 
-async def test_nothing_is_borrowed_from_an_upstream_that_refused(pool):
+async def test_no_overflow_connection_after_a_refusal(pool):
     for connection in await acquire_many(pool, SHARE):
         connection.is_idle_in_transaction = True
-    pool.note_refusal()
+    pool.record_refusal()
     waiter = start_waiter(pool)
     await asyncio.sleep(0)
     assert pool.open_count == SHARE
--- a/ebonyrack/pooling/connection_opener.py
+++ b/ebonyrack/pooling/connection_opener.py
@@ -1,4 +1,4 @@
-"""Opens a pool's connections, in attempts that end when the pool stops."""
+"""Opens a pool's connections, in attempts that the pool can cancel."""
 
 from __future__ import annotations
 
@@ -24,8 +24,8 @@
 
     Attributes:
         address: Address of the upstream.
-        connect: Opens one connection within a number of seconds.
-        attempts: Tasks that open connections.
+        connect: Opens one connection within a given number of seconds.
+        attempts: Tasks of the attempts in progress.
     """
 
     __slots__ = ("address", "connect", "attempts")
@@ -46,7 +46,7 @@
 
         Raises:
             UpstreamLostError: If the upstream refuses or can't be reached, or the
-                attempts were ended.
+                attempts were cancelled.
         """
         timeout_s = max(0.0, min(OPEN_TIMEOUT_S, deadline_s - now_s()))
         attempt = asyncio.ensure_future(self.connect(timeout_s))
@@ -59,17 +59,17 @@
         finally:
             self.attempts.discard(attempt)
         if attempt.cancelled():
-            raise build_stopped(self.address)
+            raise build_not_accepting(self.address)
         return attempt.result()
 
-    def end_attempts(self) -> None:
-        """End every attempt."""
+    def cancel_attempts(self) -> None:
+        """Cancel every attempt."""
         for attempt in self.attempts:
             attempt.cancel()
 
 
 async def abandon_attempt(attempt: asyncio.Task[Connection]) -> None:
-    """End an attempt whose caller gave up.
+    """Cancel an attempt whose caller gave up; close a connection it still opened.
 
     Args:
         attempt: The task that opens the connection.
@@ -80,8 +80,8 @@
         attempt.result().close()
 
 
-def build_stopped(address: Address) -> UpstreamLostError:
-    """Build the error for work that comes while a pool takes none.
+def build_not_accepting(address: Address) -> UpstreamLostError:
+    """Build the error for requests to a pool that accepts no new work.
 
     Args:
         address: Address of the upstream.
--- a/ebonyrack/pooling/pool.py
+++ b/ebonyrack/pooling/pool.py
@@ -19,7 +19,7 @@
 from ebonyrack.pooling.connection_opener import Connect
 from ebonyrack.pooling.connection_opener import Connection
 from ebonyrack.pooling.connection_opener import ConnectionOpener
-from ebonyrack.pooling.connection_opener import build_stopped
+from ebonyrack.pooling.connection_opener import build_not_accepting
 from ebonyrack.pooling.pool_slots import PoolSlots
 from ebonyrack.pooling.pooled_connection import QueueSettings
 from ebonyrack.pooling.upstream_lost import UpstreamLostError
@@ -32,13 +32,13 @@
 class Pool(PoolSlots[Connection], Component, Generic[Connection, Settings]):
     """Connections to one upstream, each used by one caller at a time.
 
-    Whoever is granted a place holds it until `release`.
+    A request that is granted a connection slot holds it until `release`.
 
     Attributes:
         address: Address of the upstream.
         section: Settings of the queue and of the connections.
-        queue: Requests that wait for a place.
-        opener: Opens connections until the pool stops taking work.
+        queue: Requests that wait for a slot.
+        opener: Opens connections until the pool stops accepting work.
     """
 
     __slots__ = ("address", "section", "queue", "opener")
@@ -57,7 +57,7 @@
         self.opener = ConnectionOpener(address, connect)
 
     async def stop(self) -> None:
-        """Take no more work and close every connection, also those in use."""
+        """Refuse new work and close every connection, also those in use."""
         self.stop_new_work()
         self.size_limit.stop_raising()
         self.concurrency_limit.stop_raising()
@@ -66,21 +66,21 @@
 
     @property
     def waiting_count(self) -> int:
-        """Requests that wait for a place."""
+        """Number of requests that wait for a slot."""
         return len(self.queue)
 
     def estimate_wait(self, caller: str) -> float:
-        """Return how long a request would wait for a connection, in seconds.
+        """Return the expected wait of a new request for a connection, in seconds.
 
         Args:
-            caller: Name of the application that asks.
+            caller: Name of the requesting application.
         """
         if not self.queue and self.has_free_slot():
             return 0.0
         return self.queue.estimate_wait(caller, self.servers)
 
     def set_weights(self, weights: dict[str, int]) -> None:
-        """Set the shares of the applications in the queue.
+        """Set the weights of the applications in the queue.
 
         Args:
             weights: Weight by name of the application; others count 1.
@@ -91,7 +91,7 @@
         """Wait for a connection.
 
         Args:
-            caller: Name of the application that asks.
+            caller: Name of the requesting application.
             deadline_s: Monotonic time at which the request gives up.
 
         Returns:
@@ -99,7 +99,8 @@
 
         Raises:
             RequestError: QUEUE_FULL or WAIT_TOO_LONG; nothing was sent.
-            UpstreamLostError: If the upstream takes no work or can't be reached.
+            UpstreamLostError: If the pool accepts no work or the upstream can't be
+                reached.
         """
         self.check_accepting()
         waiter = Waiter(caller, deadline_s, next(self.queue.arrivals))
@@ -111,16 +112,16 @@
             self.grant_slots()
             connection = await self.wait_for_grant(waiter)
         while connection is None:
-            connection = await self.open_place(waiter)
+            connection = await self.open_in_slot(waiter)
         return connection
 
     def check_accepting(self) -> None:
-        """Raise UpstreamLostError while the pool takes no new work."""
+        """Raise UpstreamLostError while the pool accepts no new work."""
         if not self.is_accepting:
-            raise build_stopped(self.address)
+            raise build_not_accepting(self.address)
 
     def grant_slots(self) -> None:
-        """Serve waiters as long as there are places."""
+        """Serve waiters as long as there are free slots."""
         while self.queue and self.is_accepting and self.has_free_slot():
             waiter = self.queue.pop()
             granted = waiter.granted if waiter is not None else None
@@ -128,34 +129,35 @@
                 granted.set_result(self.take_slot())
 
     async def wait_for_grant(self, waiter: Waiter) -> Connection | None:
-        """Wait until a place is granted, up to the waiter's deadline.
+        """Wait until a slot is granted, up to the waiter's deadline.
 
         Args:
             waiter: The queued waiter.
 
         Returns:
-            A connection, or None for the place of one to be opened.
+            A connection, or None for a slot in which one has to be opened.
 
         Raises:
-            RequestError: WAIT_TOO_LONG at the deadline; QUEUE_FULL if pushed out.
-            UpstreamLostError: If the pool stops taking work.
+            RequestError: WAIT_TOO_LONG at the deadline; QUEUE_FULL if the request was
+                refused in favour of another.
+            UpstreamLostError: If the pool stops accepting work.
         """
         assert waiter.granted is not None
         try:
             async with asyncio.timeout(waiter.deadline_s - now_s()):
                 connection: Connection | None = await waiter.granted
         except TimeoutError:
-            self.give_back_grant(waiter)
+            self.return_grant(waiter)
             raise self.queue.build_refusal(
                 ErrorKind.WAIT_TOO_LONG, "the deadline passed", self.servers
             ) from None
         except asyncio.CancelledError:
-            self.give_back_grant(waiter)
+            self.return_grant(waiter)
             raise
         return connection
 
-    def give_back_grant(self, waiter: Waiter) -> None:
-        """Return the place of a waiter that gives up, if it was granted one.
+    def return_grant(self, waiter: Waiter) -> None:
+        """Return the slot of a waiter that gives up, if it was granted one.
 
         Args:
             waiter: The waiter.
@@ -168,28 +170,28 @@
             return
         connection = granted.result()
         if connection is None:
-            self.give_up_opening()
+            self.free_opening_slot()
         else:
             self.release(connection)
 
-    def give_up_opening(self) -> None:
-        """Free the place of a connection that was not opened."""
+    def free_opening_slot(self) -> None:
+        """Free the slot of a connection that was not opened."""
         self.opening -= 1
         self.grant_slots()
 
-    async def open_place(self, waiter: Waiter) -> Connection | None:
-        """Open the connection of a place that is held.
+    async def open_in_slot(self, waiter: Waiter) -> Connection | None:
+        """Open a connection in a slot that is held.
 
         Args:
-            waiter: The request that holds the place.
+            waiter: The request that holds the slot.
 
         Returns:
-            The connection, busy; None if another place was granted after the
-            upstream had refused the connection.
+            The connection, busy; None if another slot was granted after the upstream
+            had refused the connection.
 
         Raises:
             RequestError: WAIT_TOO_LONG if the upstream has no connection to spare.
-            UpstreamLostError: If it can't be reached.
+            UpstreamLostError: If the upstream can't be reached.
         """
         try:
             connection = await self.opener.open(waiter.deadline_s)
@@ -198,9 +200,9 @@
             if error.sqlstate != TOO_MANY_CONNECTIONS:
                 self.grant_slots()
                 raise
-            self.note_refusal()
+            self.record_refusal()
         except BaseException:
-            self.give_up_opening()
+            self.free_opening_slot()
             raise
         else:
             self.opening -= 1
@@ -209,7 +211,7 @@
         return await self.wait_for_release(waiter)
 
     def check_opened(self, connection: Connection) -> Connection:
-        """Give a new connection up if the pool stopped taking work meanwhile.
+        """Release a new connection if the pool has stopped accepting work meanwhile.
 
         Args:
             connection: The connection, busy.
@@ -218,44 +220,44 @@
             The connection.
 
         Raises:
-            UpstreamLostError: If no new work is taken.
+            UpstreamLostError: If the pool accepts no new work.
         """
         if not self.is_accepting:
             self.release(connection)
             self.check_accepting()
         return connection
 
-    def note_refusal(self) -> None:
-        """Lower the limit to what the upstream has let us open."""
+    def record_refusal(self) -> None:
+        """Lower the limit to the open connections, as the upstream refused another."""
         self.refused_at_s = now_s()
-        self.size_limit.note_refusal(self.open_count)
+        self.size_limit.record_refusal(self.open_count)
         logger.bind(address=str(self.address), limit=self.current_limit).warning(
             "upstream refused a connection"
         )
 
     def record_overload(self) -> None:
-        """Halve the statements at once, as the upstream turned one away unrun."""
-        self.concurrency_limit.note_refusal(max(1, self.working_count // 2))
+        """Halve the concurrency limit, as the upstream refused a statement unrun."""
+        self.concurrency_limit.record_refusal(max(1, self.working_count // 2))
 
     async def wait_for_release(self, waiter: Waiter) -> Connection | None:
-        """Wait for another place, after the upstream refused a connection.
+        """Wait for another slot after the upstream has refused a connection.
 
         Args:
-            waiter: The request, which holds no place any more.
+            waiter: The request, which holds no slot any more.
 
         Returns:
-            The connection, or None for the place of one to be opened.
+            A connection, or None for a slot in which one has to be opened.
 
         Raises:
-            RequestError: WAIT_TOO_LONG if there is none or none comes free;
-                QUEUE_FULL if the queue was filled meanwhile.
-            UpstreamLostError: If the pool stops taking work.
+            RequestError: WAIT_TOO_LONG if there is no slot or none becomes free;
+                QUEUE_FULL if the queue has filled up meanwhile.
+            UpstreamLostError: If the pool stops accepting work.
         """
         self.check_accepting()
         if self.open_count == 0:
             self.queue.fail_all(self.build_no_connection)
             raise self.build_no_connection()
-        self.queue.put_back(waiter, self.servers)
+        self.queue.requeue(waiter, self.servers)
         self.grant_slots()
         return await self.wait_for_grant(waiter)
 
@@ -266,16 +268,16 @@
         )
 
     def build_refusal(self, kind: ErrorKind, reason: str) -> RequestError:
-        """Build a refusal with a time to come back that follows from the queue.
+        """Build a refusal whose retry-after time follows from the queue.
 
         Args:
             kind: Kind of refusal.
-            reason: What happened.
+            reason: Why the request is refused.
         """
         return self.queue.build_refusal(kind, reason, self.servers)
 
     def release(self, connection: Connection) -> None:
-        """Take a connection back; one that is not clean is closed.
+        """Return a connection to the pool; close it if it is not clean.
 
         Args:
             connection: A connection from `acquire`.
@@ -286,7 +288,7 @@
         if connection not in self.busy:
             raise ValueError("the connection is not in use")
         granted_at_s = self.busy.pop(connection)
-        # How long a connection was held that broke tells nothing of the service.
+        # The hold time of a connection that broke says nothing about service times.
         if connection.is_clean:
             self.queue.estimator.record_service_time(now_s() - granted_at_s)
         self.keep_or_close(connection)
@@ -295,24 +297,24 @@
             self.close_idle()
 
     def stop_new_work(self) -> None:
-        """Refuse new work; connections in use may finish what they run."""
+        """Refuse new work; connections in use may finish their statements."""
         self.is_accepting = False
-        self.opener.end_attempts()
+        self.opener.cancel_attempts()
         self.close_idle()
-        self.queue.fail_all(lambda: build_stopped(self.address))
+        self.queue.fail_all(lambda: build_not_accepting(self.address))
 
     def resume_new_work(self) -> None:
-        """Take new work again."""
+        """Accept new work again."""
         self.is_accepting = True
 
     async def warm_up(self, count: int) -> int:
-        """Open connections ahead of need.
+        """Open connections ahead of demand.
 
         Args:
-            count: Connections that should be open, within the limit.
+            count: Number of connections that should be open, within the limit.
 
         Returns:
-            Connections that are open, counting those in use.
+            Number of connections that are open, including those in use.
 
         Raises:
             UpstreamLostError: If the upstream can't be reached.
@@ -322,13 +324,13 @@
             try:
                 connection = await self.opener.open(now_s() + OPEN_TIMEOUT_S)
             except UpstreamLostError as error:
-                self.give_up_opening()
+                self.free_opening_slot()
                 if error.sqlstate != TOO_MANY_CONNECTIONS:
                     raise
-                self.note_refusal()
+                self.record_refusal()
                 break
             except BaseException:
-                self.give_up_opening()
+                self.free_opening_slot()
                 raise
             self.opening -= 1
             self.keep_or_close(connection)
--- a/ebonyrack/pooling/pool_slots.py
+++ b/ebonyrack/pooling/pool_slots.py
@@ -1,35 +1,36 @@
-"""The places of a connection pool: idle, busy and opening connections."""
+"""The slots of a connection pool: idle, busy and opening connections."""
 
 from __future__ import annotations
 
 from typing import Generic
 
 from ebonyrack.core.clock import now_s
-from ebonyrack.pooling.connection_limit import REFUSED_LIMIT_S
+from ebonyrack.pooling.connection_limit import REFUSAL_HOLD_S
 from ebonyrack.pooling.connection_limit import ConnectionLimit
 from ebonyrack.pooling.connection_opener import Connection
 
-# Connections above the limit while transactions rest. The shares of all proxies leave
-# some of those that an upstream accepts.
-BORROWED_CONNECTIONS = 1
+# Connections above the limit while transactions are idle. The shares of all proxies
+# leave some of the connections that an upstream accepts.
+MAXIMUM_OVERFLOW_CONNECTIONS = 1
 
 
 class PoolSlots(Generic[Connection]):
     """Connections that count against the limit of one upstream.
 
-    A place is an idle, busy or opening connection; there are never more places than
-    the limit allows, except for what `may_borrow` says.
+    A slot is held by an idle, busy or opening connection. The pool never holds more
+    slots than the limit, except for the overflow that `may_overflow` allows.
 
     Attributes:
-        size_limit: Largest number of places, now and without refusals.
+        size_limit: Largest number of slots, now and without refusals.
         concurrency_limit: Largest number of connections on which the upstream works
-            at once, lowered while it turns statements away as its own queue is full.
-        idle: Connections that nobody uses, the one used last at the end.
+            at once, lowered while it refuses statements because its own queue is full.
+        idle: Connections not in use, the most recently used one last.
         busy: Connections in use, with the monotonic time of the grant.
         idle_since_s: Monotonic time since which each idle connection is unused.
         opening: Number of connections being opened.
-        is_accepting: Whether new work is taken.
-        keeps_idle_connections: Whether a connection stays open that nobody waits for.
+        is_accepting: Whether new work is accepted.
+        keeps_idle_connections: Whether released connections stay open while nobody
+            waits for one.
         refused_at_s: Monotonic time at which the upstream last refused a connection.
     """
 
@@ -58,67 +59,70 @@
 
     @property
     def limit(self) -> int:
-        """Largest number of places without refusals of the upstream."""
+        """Largest number of slots without refusals by the upstream."""
         return self.size_limit.limit
 
     @property
     def current_limit(self) -> int:
-        """Largest number of places now."""
+        """Largest number of slots now."""
         return self.size_limit.current
 
     @property
     def servers(self) -> int:
-        """Connections that may be used at once now."""
+        """Number of connections that may be used at once now."""
         return min(self.size_limit.current, self.concurrency_limit.current)
 
     @property
     def working_count(self) -> int:
-        """Connections on which the upstream works, or that are being opened."""
+        """Number of connections being opened or on which the upstream works."""
         return self.opening + sum(not each.is_idle_in_transaction for each in self.busy)
 
     @property
     def open_count(self) -> int:
-        """Places held: idle, busy and opening connections."""
+        """Number of slots held by idle, busy and opening connections."""
         return len(self.idle) + len(self.busy) + self.opening
 
     @property
     def idle_count(self) -> int:
-        """Connections that nobody uses."""
+        """Number of connections not in use."""
         return len(self.idle)
 
     @property
     def busy_count(self) -> int:
-        """Connections in use or being opened for a caller."""
+        """Number of connections in use or being opened."""
         return len(self.busy) + self.opening
 
     def grant_slots(self) -> None:
-        """Serve waiters as long as there are places; the pool knows them."""
+        """Serve waiters as long as there are free slots; implemented by the pool."""
         raise NotImplementedError
 
     def has_free_slot(self) -> bool:
         """Whether a caller can be served without waiting for a release."""
         if self.working_count >= self.concurrency_limit.current:
             return False
-        self.drop_lost_idle()
+        self.remove_lost_idle()
         if self.idle or self.open_count < self.current_limit:
             return True
-        return self.may_borrow()
+        return self.may_overflow()
 
-    def may_borrow(self) -> bool:
-        """Whether a connection above the limit may be opened, as transactions rest.
+    def may_overflow(self) -> bool:
+        """Whether a connection above the limit may be opened.
 
-        Callers that begin, write and rest would else keep all others out. It is closed
-        as it comes back. An upstream that refused a connection is spared the question.
+        This is allowed while a transaction is idle; otherwise callers that begin, write
+        and then stay idle would block all others. The extra connection is closed when
+        it is released. An upstream that has just refused a connection gets no request
+        for one.
         """
-        if now_s() - self.refused_at_s < REFUSED_LIMIT_S:
+        if now_s() - self.refused_at_s < REFUSAL_HOLD_S:
             return False
         has_idle_transaction = any(each.is_idle_in_transaction for each in self.busy)
         return (
-            has_idle_transaction and self.open_count < self.limit + BORROWED_CONNECTIONS
+            has_idle_transaction
+            and self.open_count < self.limit + MAXIMUM_OVERFLOW_CONNECTIONS
         )
 
-    def drop_lost_idle(self) -> None:
-        """Forget idle connections that have ended meanwhile."""
+    def remove_lost_idle(self) -> None:
+        """Remove idle connections that have been lost meanwhile."""
         if all(connection.is_clean for connection in self.idle):
             return
         for connection in self.idle:
@@ -130,7 +134,7 @@
         }
 
     def take_slot(self) -> Connection | None:
-        """Take an idle connection, or the place of one to be opened (None)."""
+        """Take an idle connection, or a slot in which to open one (None)."""
         if not self.idle:
             self.opening += 1
             return None
@@ -140,10 +144,10 @@
         return connection
 
     def keep_or_close(self, connection: Connection) -> None:
-        """Keep a connection that nobody uses, or close it.
+        """Keep a connection as an idle one, or close it.
 
         Args:
-            connection: The connection, counted in no place.
+            connection: The connection, which holds no slot.
         """
         has_room = self.open_count < self.current_limit
         if self.is_accepting and has_room and connection.is_clean:
@@ -153,33 +157,33 @@
             connection.close()
 
     def close_idle(self) -> None:
-        """Close the connections that nobody uses."""
+        """Close all idle connections."""
         for connection in self.idle:
             connection.close()
         self.idle = []
         self.idle_since_s.clear()
 
     def trim_idle(self, kept: int, unused_s: float) -> None:
-        """Close connections above a number that nobody has used for a time.
+        """Close idle connections that have been unused for too long.
 
         Args:
-            kept: Connections that stay open however long they are unused.
-            unused_s: Seconds after which others are closed.
+            kept: Number of connections that stay open however long they are unused.
+            unused_s: Seconds without use after which others are closed.
         """
         limit_s = now_s() - unused_s
         while self.idle and self.open_count > kept:
             if self.idle_since_s.get(self.idle[0], 0.0) > limit_s:
                 return
-            self.drop_oldest()
+            self.close_oldest_idle()
 
-    def drop_oldest(self) -> None:
-        """Close the idle connection that is unused for longest."""
+    def close_oldest_idle(self) -> None:
+        """Close the idle connection that has been unused for longest."""
         connection = self.idle.pop(0)
         self.idle_since_s.pop(connection, None)
         connection.close()
 
     def resize(self, limit: int) -> None:
-        """Change the limit; busy connections above it close as they come back.
+        """Change the limit; busy connections above it are closed when released.
 
         Args:
             limit: New largest number of connections; at least 1 is kept.
@@ -187,5 +191,5 @@
         self.size_limit.limit = max(1, limit)
         self.concurrency_limit.limit = max(1, limit)
         while self.idle and self.open_count > self.limit:
-            self.drop_oldest()
+            self.close_oldest_idle()
         self.grant_slots()
--- a/ebonyrack/pooling/pooled_connection.py
+++ b/ebonyrack/pooling/pooled_connection.py
@@ -1,4 +1,4 @@
-"""What a pool needs to know of a connection."""
+"""Interfaces of the connections and settings that a pool works with."""
 
 from __future__ import annotations
 
@@ -6,23 +6,23 @@
 
 
 class PooledConnection(Protocol):
-    """A connection that one caller at a time may use."""
+    """A connection that is used by one caller at a time."""
 
     @property
     def is_clean(self) -> bool:
-        """Whether it is open and idle, with nothing due."""
+        """Whether it is open and idle, with no reply outstanding."""
 
     @property
     def is_idle_in_transaction(self) -> bool:
-        """Whether it is held by a transaction whose caller has asked for nothing."""
+        """Whether a transaction holds it and no reply is outstanding."""
 
     def close(self) -> None:
-        """Drop the connection at once."""
+        """Close the connection at once."""
 
 
 class QueueSettings(Protocol):
-    """Settings of the queue before a pool."""
+    """Settings of the queue in front of a pool."""
 
     @property
     def queue_limit(self) -> int:
-        """Largest number of requests that wait."""
+        """Largest number of waiting requests."""
--- a/ebonyrack/pooling/upstream_lost.py
+++ b/ebonyrack/pooling/upstream_lost.py
@@ -1,14 +1,14 @@
-"""The error of a connection to an upstream that can't be used any more."""
+"""The error for a connection to an upstream that can no longer be used."""
 
 from __future__ import annotations
 
 
 class UpstreamLostError(Exception):
-    """The connection to an upstream can't be used any more.
+    """The connection to an upstream can no longer be used.
 
     Attributes:
         reason: What happened.
-        sqlstate: Code of the upstream's own error answer, or an empty string.
+        sqlstate: SQLSTATE of the upstream's error response, or an empty string.
     """
 
     def __init__(self, reason: str, sqlstate: str = "") -> None:
