--- a/ebonyrack/routing/conftest.py
+++ b/ebonyrack/routing/conftest.py
@@ -1,4 +1,4 @@
-"""Fakes of a database group for the tests of placement."""
+"""Fakes of a database group and its upstreams for the tests of placement."""
 
 from __future__ import annotations
 
@@ -20,13 +20,13 @@
 
 
 class FakeUpstream:
-    """An upstream whose real state the proxy learns by polls only.
+    """An upstream whose actual state the proxy learns only from polls.
 
     Attributes:
-        actual: Status that the next poll answers.
+        actual: Status that the next poll returns.
         status: Status that the proxy knows.
         is_lost: Whether polls fail.
-        hold: Polls wait until it is set.
+        may_answer: Polls wait until it is set.
         polls: Number of plain polls that were answered.
     """
 
@@ -39,9 +39,9 @@
         self.is_regressed = False
         self.is_leaving = False
         self.is_lost = False
-        self.hold = asyncio.Event()
-        self.hold.set()
-        self.moved = asyncio.Condition()
+        self.may_answer = asyncio.Event()
+        self.may_answer.set()
+        self.state_changed = asyncio.Condition()
         self.polls = 0
         self.pool = SimpleNamespace(
             busy_count=0, waiting_count=0, idle_count=1, limit=10
@@ -53,7 +53,7 @@
         return self.is_reachable and not self.is_regressed
 
     def record_status(self, status: UpstreamStatus, asked_at_s: float) -> None:
-        """Keep an answer of another connection."""
+        """Store a status that was read on another connection."""
         self.status = status
 
     def start_poll(self) -> asyncio.Task[UpstreamStatus]:
@@ -63,9 +63,9 @@
     async def poll(
         self, position: LogPosition = LOG_START, wait_s: float = 0.0
     ) -> UpstreamStatus:
-        """Answer the actual status, at once or when a position is applied."""
+        """Return the actual status, at once or when a position is applied."""
         await asyncio.sleep(0)
-        await self.hold.wait()
+        await self.may_answer.wait()
         if self.is_lost:
             raise UpstreamLostError("down")
         if wait_s > 0:
@@ -76,19 +76,21 @@
         return self.actual
 
     async def wait_for(self, position: LogPosition, wait_s: float) -> None:
-        """Wait until a position is applied or the time is over."""
-        async with self.moved:
+        """Wait until a position is applied or the time has elapsed."""
+        async with self.state_changed:
             try:
                 async with asyncio.timeout(wait_s):
-                    await self.moved.wait_for(lambda: self.actual.applied >= position)
+                    await self.state_changed.wait_for(
+                        lambda: self.actual.applied >= position
+                    )
             except TimeoutError:
                 return
 
     async def change(self, **values: Any) -> None:
         """Change the actual state."""
-        async with self.moved:
+        async with self.state_changed:
             self.actual = replace(self.actual, **values)
-            self.moved.notify_all()
+            self.state_changed.notify_all()
 
 
 class FakeGroup:
@@ -113,7 +115,7 @@
         return self.upstreams[name]
 
     def record_request(self) -> None:
-        """Ignore that the group carries requests."""
+        """Do nothing; the real group records that it gets requests."""
 
     def primary(self) -> FakeUpstream | None:
         """Return the primary if it is reachable."""
@@ -128,7 +130,7 @@
         return primary
 
     async def write(self, offset: int, *applied: str, term: int = 1) -> LogPosition:
-        """Commit on the primary; the other named upstreams apply it too."""
+        """Commit on the primary; the named upstreams apply the write too."""
         position = LogPosition(term, offset)
         for name in {self.primary_name, *applied}:
             await self[name].change(received=position, applied=position, term=term)
@@ -137,5 +139,5 @@
 
 @pytest.fixture
 async def group() -> FakeGroup:
-    """A group with a primary and two replicas."""
+    """Return a group with a primary and two replicas."""
     return FakeGroup()
--- a/ebonyrack/routing/idempotency.py
+++ b/ebonyrack/routing/idempotency.py
@@ -1,4 +1,4 @@
-"""Requests that run once: their keys, kept in the group's own database."""
+"""Idempotency keys, which let a request run only once, in the group's own database."""
 
 from __future__ import annotations
 
@@ -13,21 +13,21 @@
 from ebonyrack.upstreams.connection import UpstreamConnection
 
 REQUEST_TABLE = "ebonyrack_requests"
-# The encoded key takes up to three times as much and must fit an index entry.
+# Encoding can triple the size of a key, and the result must fit into an index entry.
 MAXIMUM_KEY_BYTES = 800
 MAXIMUM_OUTCOME_BYTES = 12 * 1024
 DELETE_BATCH_ROWS = 500
-# No repeat can bring these to an end: the table is missing or not to be written.
-LASTING_FAULTS = frozenset({"42P01", "42501", "42703"})
+# A retry can't resolve these: the table or a column is missing, or access is denied.
+PERMANENT_SQLSTATES = frozenset({"42P01", "42501", "42703"})
 
 
 @dataclass(frozen=True, slots=True)
 class Claim:
-    """Answer to the claim of a key.
+    """Result of claiming a key.
 
     Attributes:
         is_first: Whether no request with this key has committed before.
-        outcome: Recorded outcome of the one that has; empty for the first.
+        outcome: Recorded outcome of the request that has; empty for the first one.
     """
 
     is_first: bool
@@ -35,14 +35,14 @@
 
 
 def encode_text(text: str, limit: int) -> str:
-    """Encode a text so that it can stand in a literal whatever it contains.
+    """Encode a text so that it is safe in an SQL literal whatever it contains.
 
     Args:
         text: The text.
-        limit: Largest number of bytes that it may have.
+        limit: Largest number of bytes allowed.
 
     Returns:
-        Its percent-encoded form, which has no quote and no backslash.
+        Its percent-encoded form, which contains no quote and no backslash.
 
     Raises:
         RequestError: UNSUPPORTED if it is too long.
@@ -55,7 +55,7 @@
 
 
 def decode_text(text: str) -> str:
-    """Decode what `encode_text` built.
+    """Decode a text that `encode_text` has encoded.
 
     Args:
         text: The percent-encoded form.
@@ -66,17 +66,17 @@
 async def claim_key(
     connection: UpstreamConnection, key: str, timeout_s: float, begin: str = ""
 ) -> Claim:
-    """Claim an idempotency key in the transaction that is open.
+    """Claim an idempotency key in the open transaction.
 
     The database serialises requests with the same key: a second one waits until the
     first has committed or rolled back, whichever proxies they came through.
 
     Args:
-        connection: A connection of the primary, with an open transaction unless one
-            is to begin.
+        connection: A connection to the primary, with an open transaction unless
+            `begin` is given.
         key: The key.
         timeout_s: Seconds for each of the two steps.
-        begin: Statement that begins the transaction, to go in the same round trip;
+        begin: Statement that begins the transaction, sent in the same round trip;
             empty if one is open.
 
     Returns:
@@ -92,11 +92,11 @@
         f"INSERT INTO {REQUEST_TABLE} (key, outcome, created_at)"
         f" VALUES ('{literal}', '', now()) ON CONFLICT (key) DO NOTHING"
     )
-    # On lines of their own, so that a comment in the one does not hide the other.
+    # On separate lines, so that a comment in one does not hide the other.
     sql = f"{begin}\n;\n{insert}" if begin else insert
-    answer = await connection.query(sql, timeout_s)
-    raise_refusal(answer)
-    if answer.tag == "INSERT 0 1":
+    result = await connection.query(sql, timeout_s)
+    raise_refusal(result)
+    if result.tag == "INSERT 0 1":
         return Claim(True, "")
     return Claim(False, await read_outcome(connection, literal, timeout_s))
 
@@ -104,7 +104,7 @@
 async def read_outcome(
     connection: UpstreamConnection, literal: str, timeout_s: float
 ) -> str:
-    """Read the recorded outcome of a key that is taken.
+    """Read the recorded outcome of a key that has been claimed before.
 
     Args:
         connection: The connection that could not claim the key.
@@ -120,27 +120,28 @@
         UpstreamLostError: If the upstream is lost.
     """
     select = f"SELECT outcome FROM {REQUEST_TABLE} WHERE key = '{literal}'"
-    answer = await connection.query(select, timeout_s)
-    raise_refusal(answer)
-    if not answer.rows:
-        # It was cleaned up in between: neither a first request nor a known outcome.
+    result = await connection.query(select, timeout_s)
+    raise_refusal(result)
+    if not result.rows:
+        # The key was removed meanwhile: the request is not the first, and the outcome
+        # of the first one is unknown.
         reason = "the key expired during the request"
         raise RequestError(ErrorKind.UPSTREAM_LOST, reason)
-    return decode_text(answer.rows[0][0] or "")
+    return decode_text(result.rows[0][0] or "")
 
 
 def build_outcome_record(key: str, outcome: str) -> str:
     """Build the statement that records the outcome of a claimed key.
 
-    It goes to the upstream in one send with the COMMIT, so it must not succeed
-    without effect: a row that the request itself has deleted is inserted again.
+    It is sent to the upstream together with the COMMIT, so it must not succeed without
+    effect: a row that the request itself has deleted is inserted again.
 
     Args:
-        key: The key, which the transaction that is open has claimed.
-        outcome: What a repeat is told.
+        key: The key, claimed in the open transaction.
+        outcome: Outcome that a repeated request is given.
 
     Returns:
-        The statement; `build_refusal` reads its error.
+        The statement; `build_refusal` interprets its error.
 
     Raises:
         RequestError: UNSUPPORTED if the outcome is too long.
@@ -157,12 +158,12 @@
 async def remove_expired(
     connection: UpstreamConnection, retention_s: float, timeout_s: float
 ) -> int:
-    """Remove keys older than the retention, a bounded number at a time.
+    """Remove keys older than the retention time, a bounded number per call.
 
-    The age is taken by the database's clock alone.
+    Ages are measured by the database's clock alone.
 
     Args:
-        connection: A connection of the primary outside of a transaction.
+        connection: A connection to the primary outside of a transaction.
         retention_s: Seconds for which a key is kept.
         timeout_s: Seconds for each of the two steps.
 
@@ -173,34 +174,34 @@
         RequestError: UNSUPPORTED or UPSTREAM_LOST if the upstream refuses.
         UpstreamLostError: If the upstream is lost.
     """
-    answer = await connection.query("SELECT now()", timeout_s)
-    raise_refusal(answer)
-    present = datetime.datetime.fromisoformat(answer.rows[0][0] or "")
-    limit = present - datetime.timedelta(seconds=retention_s)
+    result = await connection.query("SELECT now()", timeout_s)
+    raise_refusal(result)
+    database_time = datetime.datetime.fromisoformat(result.rows[0][0] or "")
+    cutoff = database_time - datetime.timedelta(seconds=retention_s)
     delete = (
         f"DELETE FROM {REQUEST_TABLE} WHERE key IN (SELECT key FROM {REQUEST_TABLE}"
-        f" WHERE created_at < '{limit.isoformat(sep=' ')}' LIMIT {DELETE_BATCH_ROWS})"
+        f" WHERE created_at < '{cutoff.isoformat(sep=' ')}' LIMIT {DELETE_BATCH_ROWS})"
     )
-    answer = await connection.query(delete, timeout_s)
-    raise_refusal(answer)
-    return int(answer.tag.rpartition(" ")[2])
+    result = await connection.query(delete, timeout_s)
+    raise_refusal(result)
+    return int(result.tag.rpartition(" ")[2])
 
 
-def raise_refusal(answer: QueryResult) -> None:
-    """Raise the error that an upstream answered, if it did.
+def raise_refusal(result: QueryResult) -> None:
+    """Raise an error if the upstream refused the statement.
 
     Args:
-        answer: The answer.
+        result: Result of the statement.
 
     Raises:
-        RequestError: UNSUPPORTED if a repeat can't help, else UPSTREAM_LOST.
+        RequestError: UNSUPPORTED if a retry can't help, else UPSTREAM_LOST.
     """
-    if answer.error is not None:
-        raise build_refusal(answer.error)
+    if result.error is not None:
+        raise build_refusal(result.error)
 
 
 def build_refusal(fields: dict[str, str]) -> RequestError:
-    """Build the error for a statement on keys that an upstream refused.
+    """Build the error for a statement on the key table that the upstream refused.
 
     Args:
         fields: Fields of the upstream's ErrorResponse.
@@ -209,6 +210,6 @@
         The error; nothing was committed.
     """
     sqlstate = fields.get("C", "")
-    is_lasting = sqlstate in LASTING_FAULTS
-    kind = ErrorKind.UNSUPPORTED if is_lasting else ErrorKind.UPSTREAM_LOST
+    is_permanent = sqlstate in PERMANENT_SQLSTATES
+    kind = ErrorKind.UNSUPPORTED if is_permanent else ErrorKind.UPSTREAM_LOST
     return RequestError(kind, f"{REQUEST_TABLE}: {sqlstate} {fields.get('M', '')}")
--- a/ebonyrack/routing/idempotency_test.py
+++ b/ebonyrack/routing/idempotency_test.py
@@ -34,7 +34,7 @@
 
 
 async def book(connection, key, request):
-    """Run one booking under a key, as a session does."""
+    """Run one booking under an idempotency key, as a session does."""
     await run(connection, "BEGIN")
     claim = await claim_key(connection, key, WAIT_S)
     if not claim.is_first:
@@ -51,13 +51,13 @@
 
 
 @given(st.text(st.characters(codec=None), max_size=50))
-def test_encoded_text_is_inert_in_a_literal(text):
+def test_encoded_text_is_safe_in_a_literal(text):
     encoded = encode_text(text, 1000)
     assert not set(encoded) & set("'\\\"$\0")
     assert decode_text(encoded) == text
 
 
-async def test_repeat_finds_the_recorded_outcome():
+async def test_repeated_request_gets_the_recorded_outcome():
     async with StandinGroup() as group:
         connection = await connect(group)
         for key in ("k", "it's; DROP TABLE bookings --", "%20", "試験"):
@@ -77,7 +77,7 @@
         connection.close()
 
 
-async def test_lost_answer_of_a_commit_is_found_by_the_repeat():
+async def test_outcome_of_a_commit_with_lost_answer_is_recorded():
     async with StandinGroup() as group:
         group.lose_commit_answers("up-1")
         first = await connect(group)
@@ -102,7 +102,7 @@
             connection.close()
 
 
-async def test_repeat_after_a_promotion_finds_the_outcome():
+async def test_recorded_outcome_survives_a_promotion():
     async with StandinGroup() as group:
         first = await connect(group)
         assert (await book(first, "k", "r")).is_first
@@ -118,7 +118,7 @@
         second.close()
 
 
-async def test_claim_on_a_replaced_primary_does_not_run():
+async def test_claim_on_a_replaced_primary_fails():
     async with StandinGroup() as group:
         connection = await connect(group)
         await group["up-1"].fence(2)
@@ -127,7 +127,7 @@
         assert group["up-1"].log.last.offset == 1
 
 
-async def test_expired_keys_are_removed_in_bounded_steps(monkeypatch):
+async def test_expired_keys_are_removed_in_bounded_batches(monkeypatch):
     monkeypatch.setattr("ebonyrack.routing.idempotency.DELETE_BATCH_ROWS", 2)
     async with StandinGroup() as group:
         connection = await connect(group)
@@ -140,7 +140,7 @@
         connection.close()
 
 
-async def test_missing_table_is_not_worth_a_repeat():
+async def test_missing_table_is_a_permanent_error():
     async with StandinGroup() as group:
         connection = await connect(group)
         await run(connection, "DROP TABLE ebonyrack_requests")
--- a/ebonyrack/routing/read_index.py
+++ b/ebonyrack/routing/read_index.py
@@ -1,4 +1,4 @@
-"""Read index: a position that covers every write acknowledged so far."""
+"""Read index: a log position that covers every write acknowledged so far."""
 
 from __future__ import annotations
 
@@ -16,14 +16,14 @@
 if TYPE_CHECKING:
     from ebonyrack.upstreams.group import DatabaseGroup
 
-# The history keeps at most one index for each of these intervals.
-HISTORY_STEP_S = 0.05
+# The history keeps at most one index per interval.
+HISTORY_INTERVAL_S = 0.05
 HISTORY_LENGTH = 512
 
 
 @dataclass(frozen=True, slots=True)
 class DatedIndex:
-    """A read index and when it was asked for.
+    """A read index and the time when its round of polls started.
 
     Attributes:
         asked_at_s: Monotonic time before the first poll of its round was sent.
@@ -38,16 +38,17 @@
     """Read index of one group, shared by the reads that wait for it.
 
     An acknowledged write is held by a majority of the upstreams. Any majority that
-    is polled afterwards has a member in common with it, so the highest position
-    received among them is at or past the write.
+    is polled afterwards has a member in common with it, so the highest received
+    position among them is at or past the write.
 
     Attributes:
         group: The database group.
         running: The round in flight, or None.
         waiting: The round that begins after it, or None.
         history: Earlier indexes, oldest first.
-        has_overlap: Whether a read has been sent whose index is being made.
-        overlap_from_s: Monotonic time from which a read may be sent so.
+        has_overlapped_read: Whether an overlapped read is in flight, which has been
+            sent before its index is known.
+        overlap_allowed_at_s: Monotonic time from which reads may be overlapped.
     """
 
     __slots__ = (
@@ -55,8 +56,8 @@
         "running",
         "waiting",
         "history",
-        "has_overlap",
-        "overlap_from_s",
+        "has_overlapped_read",
+        "overlap_allowed_at_s",
     )
 
     def __init__(self, group: DatabaseGroup) -> None:
@@ -64,11 +65,11 @@
         self.running: asyncio.Task[DatedIndex] | None = None
         self.waiting: asyncio.Task[DatedIndex] | None = None
         self.history: deque[DatedIndex] = deque(maxlen=HISTORY_LENGTH)
-        self.has_overlap = False
-        self.overlap_from_s = 0.0
+        self.has_overlapped_read = False
+        self.overlap_allowed_at_s = 0.0
 
     async def stop(self) -> None:
-        """End the rounds in flight."""
+        """Cancel the rounds in flight."""
         rounds = [task for task in (self.running, self.waiting) if task is not None]
         await end_tasks(rounds)
 
@@ -85,8 +86,12 @@
 
     @property
     def is_idle(self) -> bool:
-        """Whether no round and no overlapped read is under way."""
-        return self.waiting is None and not self.has_overlap and not self.is_running
+        """Whether no round and no overlapped read is in flight."""
+        return (
+            self.waiting is None
+            and not self.has_overlapped_read
+            and not self.is_running
+        )
 
     @property
     def is_running(self) -> bool:
@@ -94,17 +99,17 @@
         return self.running is not None and not self.running.done()
 
     def join_round(self) -> asyncio.Task[DatedIndex]:
-        """Return a round of polls that has not sent any yet."""
+        """Return a round that has not sent its polls yet, starting one if needed."""
         if self.waiting is None:
             self.waiting = asyncio.create_task(self.run_round(self.running))
-            self.waiting.add_done_callback(note_error)
+            self.waiting.add_done_callback(retrieve_error)
         return self.waiting
 
     async def run_round(self, previous: asyncio.Task[DatedIndex] | None) -> DatedIndex:
-        """Poll after the round before has ended.
+        """Poll the upstreams after the previous round has ended.
 
         Args:
-            previous: The round before, or None.
+            previous: The previous round, or None.
 
         Returns:
             The index.
@@ -116,15 +121,15 @@
             await asyncio.wait([previous])
         self.running, self.waiting = self.waiting, None
         asked_at_s = now_s()
-        index = DatedIndex(asked_at_s, await self.ask_majority())
-        self.remember(index)
+        index = DatedIndex(asked_at_s, await self.poll_majority())
+        self.record_index(index)
         return index
 
-    async def ask_majority(self) -> LogPosition:
+    async def poll_majority(self) -> LogPosition:
         """Poll until a majority has answered.
 
         Returns:
-            Highest position received among those that answered.
+            Highest received position among the upstreams that answered.
 
         Raises:
             RequestError: NO_UPSTREAM if no majority answers.
@@ -133,15 +138,15 @@
         upstreams = group.upstreams.values()
         return await PollRound(group, upstreams, group.majority).collect()
 
-    def remember(self, index: DatedIndex) -> None:
-        """Keep an index for reads of a stated age.
+    def record_index(self, index: DatedIndex) -> None:
+        """Keep an index for reads with a maximum staleness.
 
         Args:
             index: The index.
         """
         if self.history:
             age_s = index.asked_at_s - self.history[-1].asked_at_s
-            if age_s < HISTORY_STEP_S:
+            if age_s < HISTORY_INTERVAL_S:
                 return
         self.history.append(index)
 
@@ -152,7 +157,7 @@
             earliest_s: Monotonic time.
 
         Returns:
-            The position: whatever shows it misses no write that was acknowledged
+            The position; data that includes it lacks no write that was acknowledged
             before that time. None if no index is recent enough.
         """
         for index in self.history:
@@ -161,8 +166,8 @@
         return None
 
 
-def note_error(task: asyncio.Task[DatedIndex]) -> None:
-    """Mark the error of a round as seen, for rounds whose readers have left.
+def retrieve_error(task: asyncio.Task[DatedIndex]) -> None:
+    """Mark the error of a round as retrieved, in case all of its readers have left.
 
     Args:
         task: The round.
--- a/ebonyrack/routing/read_index_test.py
+++ b/ebonyrack/routing/read_index_test.py
@@ -26,14 +26,14 @@
         assert await index.fetch() >= held
 
 
-async def test_silent_replica_does_not_hold_up_the_index(group):
+async def test_silent_replica_does_not_delay_the_index(group):
     held = await group.write(5, "b")
-    group["b"].hold.clear()
+    group["b"].may_answer.clear()
     async with ReadIndex(group) as index:
         assert await index.fetch() >= held
 
 
-async def test_no_majority_is_an_error(group):
+async def test_missing_majority_is_an_error(group):
     for name in "ab":
         group[name].is_lost = True
     async with ReadIndex(group) as index:
@@ -46,7 +46,7 @@
 
 async def test_poll_sent_before_the_call_does_not_count(group):
     for name in "abc":
-        group[name].hold.clear()
+        group[name].may_answer.clear()
     async with ReadIndex(group) as index:
         early = asyncio.create_task(index.fetch())
         while index.running is None:
@@ -54,13 +54,13 @@
         held = await group.write(5, "b", "c")
         late = [asyncio.create_task(index.fetch()) for _ in range(20)]
         for name in "abc":
-            group[name].hold.set()
+            group[name].may_answer.set()
         await early
         assert await asyncio.gather(*late) == [held] * 20
     assert group["b"].polls == 2
 
 
-async def test_cancelled_reader_leaves_the_others_their_index(group):
+async def test_cancelled_reader_does_not_cancel_the_round_of_others(group):
     async with ReadIndex(group) as index:
         tasks = [asyncio.create_task(index.fetch()) for _ in range(2)]
         await asyncio.sleep(0)
@@ -68,7 +68,7 @@
         assert await tasks[1] == LogPosition(1, 1)
 
 
-async def test_index_of_an_age_is_the_oldest_that_is_recent_enough(group):
+async def test_find_index_returns_the_oldest_recent_enough(group):
     async with ReadIndex(group) as index:
         before_s = now_s()
         first = await index.fetch()
--- a/ebonyrack/routing/read_machine_test.py
+++ b/ebonyrack/routing/read_machine_test.py
@@ -1,4 +1,4 @@
-"""Sessions that roam between two proxies while replicas lag and primaries change."""
+"""Sessions that switch between two proxies while replicas lag and primaries change."""
 
 import asyncio
 from contextlib import AsyncExitStack
@@ -33,7 +33,7 @@
 REPLICAS = st.integers(0, 1)
 LAGS_S = st.sampled_from([0.0, 0.02, 0.3])
 AGES_S = st.sampled_from([0.0, 0.02, 0.2])
-# Bounds each request; one that is refused shows nothing and proves nothing.
+# Timeout of each request; a refused read returns no data, so nothing is checked.
 REQUEST_S = 0.3
 SECTION = {
     "read_wait_s": 0.05,
@@ -44,7 +44,7 @@
 
 
 class Session:
-    """What one caller has been told."""
+    """The writes acknowledged to one caller and its session token."""
 
     def __init__(self):
         self.written = set()
@@ -52,7 +52,7 @@
 
 
 class ReadMachine(RuleBasedStateMachine):
-    """Checks every answer against the writes that were acknowledged before."""
+    """Checks that every answer covers the writes acknowledged before."""
 
     def __init__(self):
         super().__init__()
@@ -61,9 +61,9 @@
         self.stack = AsyncExitStack()
         self.sessions = [Session() for _ in range(3)]
         self.acknowledged = {}
-        self.shown = set()
+        self.observed = set()
         self.count = 0
-        self.dead = None
+        self.replaced_primary = None
         self.loop.run_until_complete(self.start())
 
     async def start(self):
@@ -96,7 +96,7 @@
             self.sessions[session].token = max(self.sessions[session].token, position)
 
     async def commit(self, group, value):
-        """Return the position of an acknowledged write, None for any other."""
+        """Write a value; return its position if it was acknowledged, else None."""
         deadline_s = now_s() + REQUEST_S
         try:
             primary = await group.wait_for_primary(deadline_s)
@@ -116,7 +116,7 @@
         return position
 
     async def read(self, proxy, requirement):
-        """Return the values of an answer that a caller would get, or None."""
+        """Return the values that a caller would read, or None if there is no answer."""
         group, index = self.proxies[proxy]
         deadline_s = now_s() + REQUEST_S
         try:
@@ -139,7 +139,7 @@
         return {row[0] for row in answer.rows}
 
     async def read_overlapped(self, proxy, replica):
-        """Read on a replica that is judged while it reads; None if dropped."""
+        """Read from a replica while its index is determined; None if dropped."""
         group, index = self.proxies[proxy]
         deadline_s = now_s() + REQUEST_S
         requirement = ReadRequirement()
@@ -175,22 +175,22 @@
         return {row[0] for row in answer.rows}
 
     def check_read(self, proxy, requirement, expected):
-        """Read and compare with what must be seen."""
+        """Read and check that the expected values are seen."""
         self.compare(self.read(proxy, requirement), expected)
 
     def compare(self, reading, expected):
-        """Wait for an answer and compare it with what must be seen."""
+        """Wait for an answer and check that the expected values are seen."""
         seen = self.loop.run_until_complete(reading)
         if seen is not None:
             assert expected <= seen, f"{expected - seen} not seen"
-            self.shown |= seen
+            self.observed |= seen
 
     @rule(proxy=PROXIES)
     def read_strictly(self, proxy):
         self.check_read(proxy, ReadRequirement(), set(self.acknowledged))
 
     @rule(proxy=PROXIES, replica=REPLICAS)
-    def read_while_judged(self, proxy, replica):
+    def read_with_overlap(self, proxy, replica):
         self.compare(self.read_overlapped(proxy, replica), set(self.acknowledged))
 
     @rule(proxy=PROXIES, session=SESSIONS)
@@ -200,7 +200,7 @@
         self.check_read(proxy, requirement, session.written)
 
     @rule(proxy=PROXIES, session=SESSIONS, age_s=AGES_S)
-    def read_aged(self, proxy, session, age_s):
+    def read_bounded_staleness(self, proxy, session, age_s):
         session = self.sessions[session]
         limit_s = now_s() - age_s
         older = {value for value, at_s in self.acknowledged.items() if at_s < limit_s}
@@ -208,22 +208,22 @@
         self.check_read(proxy, requirement, older | session.written)
 
     @rule(proxy=PROXIES, session=SESSIONS, replica=REPLICAS, lag_s=LAGS_S)
-    def write_and_read_elsewhere(self, proxy, session, replica, lag_s):
-        """Read in every way what was just written, while one replica lacks it."""
+    def write_and_read_on_other_proxy(self, proxy, session, replica, lag_s):
+        """Read a new write in every way while one replica lacks it."""
         self.disturb_replication(replica, lag_s)
         self.write(proxy, session)
         for number in (0, 1):
-            self.read_while_judged(1 - proxy, number)
+            self.read_with_overlap(1 - proxy, number)
         self.read_with_token(1 - proxy, session)
         self.read_strictly(1 - proxy)
-        self.read_aged(1 - proxy, session, 0.0)
+        self.read_bounded_staleness(1 - proxy, session, 0.0)
 
-    @precondition(lambda self: self.dead is None)
+    @precondition(lambda self: self.replaced_primary is None)
     @rule(proxy=PROXIES, session=SESSIONS)
-    def read_what_no_majority_holds(self, proxy, session):
+    def read_unreplicated_write(self, proxy, session):
         """Read on a primary that is lost before its last write is replicated."""
         primary = self.primary_name
-        # Replicas hold the first write but don't show it before the read.
+        # Replicas receive the first write but don't apply it before the read.
         self.disturb_replication(None, 10 * REQUEST_S)
         self.write(proxy, session)
         for replica in (0, 1):
@@ -234,8 +234,8 @@
         self.loop.run_until_complete(self.promote(primary, True))
 
     @rule(proxy=PROXIES)
-    def read_together(self, proxy):
-        """Read while a write is acknowledged: the later reads must see it."""
+    def read_twice_around_write(self, proxy):
+        """Read before and after a write: the later read must see it if acknowledged."""
 
         async def read_around_a_write():
             early = asyncio.create_task(self.read(proxy, ReadRequirement()))
@@ -255,16 +255,16 @@
 
     @rule(replica=st.none() | REPLICAS, lag_s=LAGS_S)
     def disturb_replication(self, replica, lag_s):
-        """Delay what replicas show; hold back the log from one of them or none."""
+        """Delay replication; cut one replica or none off from the primary."""
         self.standins.heal()
         self.standins.set_lag(lag_s)
         if replica is not None:
             self.standins.cut(self.primary_name, self.replica_name(replica))
 
-    @precondition(lambda self: self.dead is None)
+    @precondition(lambda self: self.replaced_primary is None)
     @rule(is_killed=st.booleans())
     def replace_primary(self, is_killed):
-        """Promote a replica; the old primary is killed or goes on unaware."""
+        """Promote a replica; the old primary is killed or keeps running unaware."""
         self.loop.run_until_complete(self.promote(self.primary_name, is_killed))
 
     async def promote(self, old, is_killed):
@@ -279,31 +279,31 @@
         for upstream in others:
             if upstream is not chosen:
                 await upstream.follow(term, chosen.address)
-        self.dead = (old, is_killed)
+        self.replaced_primary = (old, is_killed)
         held = " ".join(
             statement.sql
             for entry in chosen.log.entries
             for statement in entry.statements
         )
-        for value in self.shown | set(self.acknowledged):
-            assert f"'{value}'" in held, f"{value} was shown and is lost"
+        for value in self.observed | set(self.acknowledged):
+            assert f"'{value}'" in held, f"{value} was seen or acknowledged but is lost"
 
-    @precondition(lambda self: self.dead is not None)
+    @precondition(lambda self: self.replaced_primary is not None)
     @rule(follows=st.booleans())
     def bring_back(self, follows):
-        """Let the old primary come back, at first without an order to follow."""
+        """Restart the old primary if it was killed; optionally let it follow."""
         self.loop.run_until_complete(self.rejoin(follows))
 
     async def rejoin(self, follows):
-        name, is_killed = self.dead
+        name, is_killed = self.replaced_primary
         upstream = self.standins[name]
         if is_killed:
             await self.standins.restart(name)
-            self.dead = (name, False)
+            self.replaced_primary = (name, False)
         if follows:
             primary = self.standins.primary()
             await upstream.follow(primary.term, primary.address)
-            self.dead = None
+            self.replaced_primary = None
 
     @rule(is_polled=st.booleans())
     def let_time_pass(self, is_polled):
@@ -322,7 +322,7 @@
     stateful_step_count=20,
     deadline=None,
     derandomize=True,
-    # Time passes between steps, so a shorter example need not fail in the same way.
+    # Steps depend on elapsed time, so a shrunk example need not fail in the same way.
     phases=(Phase.explicit, Phase.generate),
 )
 TestReads = ReadMachine.TestCase
--- a/ebonyrack/routing/read_overlap.py
+++ b/ebonyrack/routing/read_overlap.py
@@ -1,4 +1,4 @@
-"""Overlapped reads: sent to a replica while the read index is being made."""
+"""Overlapped reads: sent to a replica while their read index is determined."""
 
 from __future__ import annotations
 
@@ -27,21 +27,22 @@
     from ebonyrack.upstreams.status import UpstreamStatus
     from ebonyrack.upstreams.upstream import Upstream
 
-# After a read that was sent in vain, reads wait for their index for this long.
-PAUSE_S = 1.0
+# For this long after an overlapped read was dropped, reads wait for their index.
+OVERLAP_PAUSE_S = 1.0
 
 
 class Overlap:
-    """A read on its way to a replica and the round that makes its index.
+    """A read in flight to a replica and the round of polls for its read index.
 
-    The replica is polled on the connection of the read, right before it, so what
-    the poll tells is shown to the read. That poll counts for the majority too.
+    The replica is polled on the connection of the read, right before the read, so the
+    read sees at least what the poll reports. That poll also counts towards the
+    majority.
 
     Attributes:
-        search: The search that the read would have begun.
+        search: Search that the read would otherwise have started.
         replica: The replica.
         asked_at_s: Monotonic time before any poll was sent.
-        others: Polls of the other upstreams.
+        others: Polls of the other upstreams, or None before `start`.
     """
 
     __slots__ = ("search", "replica", "asked_at_s", "others")
@@ -53,7 +54,7 @@
         self.others: PollRound | None = None
 
     def __enter__(self) -> Self:
-        self.search.read_index.has_overlap = True
+        self.search.read_index.has_overlapped_read = True
         return self
 
     def __exit__(
@@ -62,10 +63,10 @@
         error: BaseException | None,
         traceback: TracebackType | None,
     ) -> None:
-        self.search.read_index.has_overlap = False
+        self.search.read_index.has_overlapped_read = False
 
     def start(self) -> None:
-        """Poll the other upstreams; the replica is polled after it."""
+        """Poll the other upstreams; the caller polls the replica afterwards."""
         group = self.search.group
         others = [
             upstream
@@ -76,11 +77,11 @@
         self.others = PollRound(group, others, group.majority - 1)
 
     async def validate(self, status: UpstreamStatus | None) -> ReadPlacement | None:
-        """Tell whether what the read is shown covers what it must see.
+        """Check whether the data that the read sees covers what it must see.
 
         Args:
-            status: What the replica told on the connection of the read, right
-                before it; None if it could not be read.
+            status: Status that the replica reported on the connection of the read,
+                right before it; None if it could not be read.
 
         Returns:
             The placement, or None if the answer must not be used.
@@ -99,9 +100,9 @@
         except RequestError:
             self.log_dropped("no_majority", status, None)
             return None
-        search.read_index.remember(DatedIndex(self.asked_at_s, index))
+        search.read_index.record_index(DatedIndex(self.asked_at_s, index))
         minimum = max(index, search.requirement.own_writes)
-        if not shows(status, search.group.term, minimum):
+        if not covers(status, search.group.term, minimum):
             self.log_dropped("not_reached", status, minimum)
             return None
         placement = search.place(
@@ -113,15 +114,15 @@
     def log_dropped(
         self, reason: str, status: UpstreamStatus | None, minimum: LogPosition | None
     ) -> None:
-        """Log that an answer is dropped, and let the next reads wait for their index.
+        """Log that an answer is dropped; make the next reads wait for their index.
 
         Args:
-            reason: Why.
-            status: What the replica told, or None.
-            minimum: What the read had to see, or None if that is not known.
+            reason: Why the answer is dropped.
+            status: Status that the replica reported, or None.
+            minimum: Position that the read had to see, or None if it is not known.
         """
         search = self.search
-        search.read_index.overlap_from_s = now_s() + PAUSE_S
+        search.read_index.overlap_allowed_at_s = now_s() + OVERLAP_PAUSE_S
         log_decision(
             "read_overlap_dropped",
             group=search.group.name,
@@ -142,8 +143,8 @@
 ) -> Overlap | None:
     """Choose a replica to which a read is sent before its index is known.
 
-    Only a read that needs a new index gains by it, and only while no other round
-    is under way: reads that come together share a round instead.
+    Only a read that needs a new index gains from this, and only while no other round
+    is in flight: concurrent reads share a round instead.
 
     Args:
         group: The database group.
@@ -152,28 +153,28 @@
         deadline_s: Monotonic time at which the request gives up.
 
     Returns:
-        The overlap, or None if the read is to wait for its index.
+        The overlap, or None if the read has to wait for its index.
     """
     started_s = now_s()
     if (
         requirement.minimum is not None
         or requirement.max_age_s is not None
         or not read_index.is_idle
-        or started_s < read_index.overlap_from_s
+        or started_s < read_index.overlap_allowed_at_s
         or group.majority > MAJORITY_OF_PRIMARY_AND_REPLICA
         or group.section.read_policy != "quorum"
     ):
         return None
     group.record_request()
     search = Search(group, read_index, requirement, deadline_s, frozenset(), started_s)
-    replica = choose_replica(search, find_latest(search))
+    replica = choose_replica(search, estimate_index(search))
     if replica is None or not has_idle_connection(replica.pool):
         return None
     return Overlap(search, replica)
 
 
-def find_latest(search: Search) -> LogPosition:
-    """Return the highest position that the index is expected to have.
+def estimate_index(search: Search) -> LogPosition:
+    """Return the position that the read index is expected to have.
 
     Args:
         search: The search.
@@ -188,7 +189,7 @@
 
 
 def has_idle_connection(pool: ConnectionPool) -> bool:
-    """Whether a read gets a connection at once.
+    """Whether a read would get a connection at once.
 
     Args:
         pool: The pool.
@@ -196,11 +197,11 @@
     return pool.idle_count > 0 and pool.waiting_count == 0
 
 
-def shows(status: UpstreamStatus, term: int, minimum: LogPosition) -> bool:
-    """Whether a replica with a status shows a position of its group's log.
+def covers(status: UpstreamStatus, term: int, minimum: LogPosition) -> bool:
+    """Whether the data of a replica covers a position of its group's log.
 
     Args:
-        status: The status.
+        status: Status of the replica.
         term: Term of the group.
         minimum: The position.
     """
--- a/ebonyrack/routing/read_overlap_test.py
+++ b/ebonyrack/routing/read_overlap_test.py
@@ -32,7 +32,7 @@
     return overlap
 
 
-async def test_answer_that_shows_the_index_is_used(group, index):
+async def test_answer_that_covers_the_index_is_used(group, index):
     held = await group.write(5, "b", "c")
     overlap = start(group, index)
     placement = await overlap.validate(group["b"].actual)
@@ -49,28 +49,26 @@
     before = group["b"].actual
     position = await group.write(5, *held_by)
     overlap = start(group, index)
-    # The replica has received the write or not, but does not show it.
+    # Whether or not the replica has received the write, it has not applied it.
     received = position if "b" in held_by else before.received
     assert await overlap.validate(replace(before, received=received)) is None
     assert choose(group, index) is None
-    index.overlap_from_s = 0.0
+    index.overlap_allowed_at_s = 0.0
     group["c"].is_leaving = False
     assert choose(group, index).replica is group["c"]
 
 
-async def test_write_that_only_the_silent_replica_and_the_primary_hold_is_covered(
-    group, index
-):
+async def test_write_held_by_primary_and_silent_replica_only_is_covered(group, index):
     before = group["b"].actual
     await group.write(5, "c")
-    group["c"].hold.clear()
+    group["c"].may_answer.clear()
     overlap = start(group, index)
     assert await overlap.validate(before) is None
     assert group["a"].polls == 1
-    group["c"].hold.set()
+    group["c"].may_answer.set()
 
 
-async def test_the_sessions_own_write_is_covered(group, index):
+async def test_own_write_of_the_session_is_covered(group, index):
     own = LogPosition(1, 9)
     overlap = start(group, index)
     overlap.search = replace(
@@ -108,7 +106,9 @@
     "requirement",
     [ReadRequirement(minimum=LOG_START), ReadRequirement(max_age_s=1.0)],
 )
-async def test_read_that_needs_no_new_index_waits_for_none(group, index, requirement):
+async def test_read_that_needs_no_new_index_is_not_overlapped(
+    group, index, requirement
+):
     assert choose(group, index, requirement) is None
 
 
@@ -135,7 +135,7 @@
     assert choose(group, index) is None
 
 
-async def test_reads_that_come_together_share_a_round(group, index):
+async def test_concurrent_reads_share_a_round(group, index):
     with choose(group, index):
         assert choose(group, index) is None
     assert choose(group, index) is not None
@@ -150,7 +150,7 @@
     overlap = start(group, index)
     group.term = 2
     await group["c"].change(term=2)
-    # Entries that a replaced primary left behind, which nobody else may ever hold.
+    # Entries from a replaced primary, which may never be held by any other upstream.
     tail = LogPosition(1, 9)
     status = replace(group["b"].actual, term=2, received=tail, applied=tail)
     assert await overlap.validate(status) is None
--- a/ebonyrack/routing/read_placement.py
+++ b/ebonyrack/routing/read_placement.py
@@ -1,4 +1,4 @@
-"""Placement of reads: which upstream serves one, and what it must show."""
+"""Placement of reads: which upstream serves a read and what it must see there."""
 
 from __future__ import annotations
 
@@ -32,11 +32,11 @@
 __all__ = ["READ_POLICIES", "ReadPlacement", "ReadRequirement", "place_read"]
 
 RETRY_AFTER_S = 0.2
-# Between looks for an upstream that can serve while there is none.
-RECHECK_S = 0.02
-# The "primary_after_write" policy keeps to the primary for this long.
-AFTER_WRITE_S = 1.0
-# In groups with a larger majority a replica may show what no majority holds yet.
+# Interval between searches while no upstream can serve the read.
+RECHECK_INTERVAL_S = 0.02
+# The "primary_after_write" policy reads from the primary for this long after a write.
+PRIMARY_AFTER_WRITE_S = 1.0
+# In groups with a larger majority a replica may expose writes that no majority holds.
 MAJORITY_OF_PRIMARY_AND_REPLICA = 2
 
 
@@ -51,14 +51,14 @@
     deadline_s: float,
     excluded: frozenset[str] = frozenset(),
 ) -> ReadPlacement:
-    """Choose the upstream that serves a read, by the policy of the group's section.
+    """Choose the upstream that serves a read, by the group's read policy.
 
     Args:
         group: The database group.
         read_index: Its read index.
         requirement: What the read must see.
         deadline_s: Monotonic time at which the request gives up.
-        excluded: Names of upstreams that are not to serve it.
+        excluded: Names of upstreams that must not serve it.
 
     Returns:
         The placement.
@@ -79,21 +79,21 @@
 
 
 def build_refusal(search: Search) -> RequestError:
-    """Build the error of a search that found nothing in time.
+    """Build the error of a search that found no upstream in time.
 
     Args:
         search: The search.
     """
     names = [item.name for item in find_replicas(search)]
     kind = ErrorKind.POSITION_NOT_REACHED if names else ErrorKind.NO_UPSTREAM
-    reason = f"replicas that answer: {', '.join(names) or 'none'}"
+    reason = f"available replicas: {', '.join(names) or 'none'}"
     return RequestError(kind, reason, RETRY_AFTER_S)
 
 
 def log_placement(group: DatabaseGroup, placement: ReadPlacement) -> None:
-    """Log and count a placement, once the present step of the request is done.
+    """Count a placement, and log it once the current step of the request is done.
 
-    The line would delay what is sent next by more than the decision takes.
+    Writing the line takes longer than the decision and would delay the next send.
 
     Args:
         group: The database group.
@@ -121,13 +121,13 @@
 
 @READ_POLICIES.register("quorum")
 async def place_by_quorum(search: Search) -> ReadPlacement:
-    """Place a read on a replica that provably shows what it must see.
+    """Place a read on a replica whose data provably covers what the read must see.
 
     Args:
         search: The search.
 
     Returns:
-        The placement: a replica that shows the minimum already, one that gets
+        The placement: a replica that has applied the minimum already, one that gets
         there within the group's `read_wait_s`, or the primary.
 
     Raises:
@@ -144,44 +144,44 @@
         primary = find_primary(search, minimum)
         if primary is not None:
             return search.place(primary, minimum, "primary", hold=True)
-        await asyncio.sleep(RECHECK_S)
+        await asyncio.sleep(RECHECK_INTERVAL_S)
 
 
 async def find_minimum(search: Search) -> LogPosition:
-    """Return the position that whoever serves the read must show.
+    """Return the position that the upstream serving the read must have applied.
 
     Args:
         search: The search.
 
     Returns:
-        The position; the session's own writes are always within it.
+        The position; it always covers the session's own writes.
 
     Raises:
-        RequestError: NO_UPSTREAM if a read index is needed and can't be had.
+        RequestError: NO_UPSTREAM if a read index is needed but no majority answers.
     """
     requirement = search.requirement
     positions = [requirement.own_writes]
     if requirement.minimum is not None:
         positions.append(requirement.minimum)
     if requirement.max_age_s is not None:
-        positions.append(await find_aged_index(search, requirement.max_age_s))
+        positions.append(await find_index_for_age(search, requirement.max_age_s))
     elif requirement.minimum is None:
         positions.append(await search.read_index.fetch())
     return max(positions)
 
 
-async def find_aged_index(search: Search, max_age_s: float) -> LogPosition:
-    """Return a position that proves that data is not older than stated.
+async def find_index_for_age(search: Search, max_age_s: float) -> LogPosition:
+    """Return a position that data of at most a given age has to cover.
 
     Args:
         search: The search.
-        max_age_s: Age that the data may have, in seconds.
+        max_age_s: Largest age of the data, in seconds.
 
     Returns:
         The position.
 
     Raises:
-        RequestError: NO_UPSTREAM if a new read index is needed and can't be had.
+        RequestError: NO_UPSTREAM if a new read index is needed but no majority answers.
     """
     known = search.read_index.find_index(search.started_s - max_age_s)
     if known is not None:
@@ -197,17 +197,17 @@
     Args:
         search: The search.
         replica: The replica.
-        minimum: Position that it shows.
-        reason: Why this one.
+        minimum: Position that it has applied.
+        reason: Why this replica was chosen.
     """
-    # What a replica has received is held by itself and by the primary.
+    # What a replica has received is held by the replica itself and by the primary.
     hold = search.group.majority > MAJORITY_OF_PRIMARY_AND_REPLICA
     return search.place(replica, minimum, reason, hold, needs_replica=True)
 
 
 @READ_POLICIES.register("primary_only")
 async def place_on_primary(search: Search) -> ReadPlacement:
-    """Place every read on the primary, without proof that it still is one.
+    """Place every read on the primary, without proof that it is still the primary.
 
     Args:
         search: The search.
@@ -223,8 +223,8 @@
 
 
 @READ_POLICIES.register("primary_after_write")
-async def place_by_time(search: Search) -> ReadPlacement:
-    """Place reads on the primary for a time after a write, else on any replica.
+async def place_by_last_write(search: Search) -> ReadPlacement:
+    """Place reads on the primary for some time after a write, else on any replica.
 
     Args:
         search: The search.
@@ -236,7 +236,7 @@
         RequestError: NO_PRIMARY if there is none in time.
     """
     wrote_at_s = search.requirement.wrote_at_s
-    if wrote_at_s is not None and search.started_s - wrote_at_s < AFTER_WRITE_S:
+    if wrote_at_s is not None and search.started_s - wrote_at_s < PRIMARY_AFTER_WRITE_S:
         return await place_on_primary(search)
     replica = choose_replica(search, LOG_START)
     if replica is None:
--- a/ebonyrack/routing/read_placement_test.py
+++ b/ebonyrack/routing/read_placement_test.py
@@ -24,7 +24,7 @@
         return await place_read(group, index, requirement, now_s() + wait_s, excluded)
 
 
-async def test_strict_read_goes_to_the_replica_that_shows_the_last_write(group):
+async def test_strict_read_goes_to_the_replica_that_applied_the_last_write(group):
     held = await group.write(5, "b")
     placement = await place(group)
     assert (placement.upstream, placement.minimum) == (group["b"], held)
@@ -42,11 +42,11 @@
     assert names == {"c"}
 
 
-async def test_read_waits_for_a_replica_that_will_get_there(group):
+async def test_read_waits_for_a_replica_that_catches_up(group):
     held = await group.write(5)
     await group["b"].change(received=held)
     task = asyncio.create_task(place(group))
-    while not group["b"].moved._waiters:
+    while not group["b"].state_changed._waiters:
         await asyncio.sleep(0)
     await group["c"].change(applied=held)
     placement = await task
@@ -54,7 +54,7 @@
 
 
 @pytest.mark.parametrize("values, lag_s", [({"read_wait_s": 0}, 0), ({}, 60)])
-async def test_replicas_that_lag_leave_the_read_to_the_primary(values, lag_s):
+async def test_read_goes_to_the_primary_while_replicas_lag(values, lag_s):
     group = FakeGroup(**values)
     group.lag_s = lag_s
     held = await group.write(5)
@@ -64,7 +64,7 @@
     assert placement.hold_until_confirmed
 
 
-async def test_token_needs_no_poll_and_is_kept(group):
+async def test_read_with_token_needs_no_poll(group):
     await group.write(5, "b")
     group["b"].status = group["b"].actual
     placement = await place(group, ReadRequirement(minimum=LogPosition(1, 4)))
@@ -72,10 +72,10 @@
     assert group["c"].polls == group["b"].polls == 0
 
 
-async def test_aged_read_does_not_wait_but_shows_own_writes(group):
+async def test_bounded_staleness_read_does_not_wait_but_sees_own_writes(group):
     async with ReadIndex(group) as index:
 
-        async def place_aged(max_age_s, own_writes=LOG_START):
+        async def place_with_max_age(max_age_s, own_writes=LOG_START):
             requirement = ReadRequirement(None, max_age_s, own_writes)
             return await place_read(group, index, requirement, now_s() + WAIT_S)
 
@@ -84,12 +84,12 @@
         group["b"].status = group["b"].actual
         group["c"].pool.busy_count = 0
         group["b"].pool.busy_count = 1
-        assert (await place_aged(60)).upstream is group["c"]
-        assert (await place_aged(60, held)).upstream is group["b"]
-        assert (await place_aged(0)).upstream is group["b"]
+        assert (await place_with_max_age(60)).upstream is group["c"]
+        assert (await place_with_max_age(60, held)).upstream is group["b"]
+        assert (await place_with_max_age(0)).upstream is group["b"]
 
 
-async def test_replaced_primary_that_still_answers_serves_no_read(group):
+async def test_replaced_primary_serves_no_read(group):
     for name in "bc":
         await group[name].change(term=2, fenced_term=2, received=LogPosition(2, 2))
     with pytest.raises(RequestError) as caught:
@@ -99,7 +99,7 @@
     assert (await place(group)).upstream is group["b"]
 
 
-async def test_replica_that_may_hold_entries_of_no_majority_serves_no_read(group):
+async def test_replica_with_unconfirmed_entries_serves_no_read(group):
     group.term, group.primary_name = 2, "b"
     tail = LogPosition(1, 9)
     await group["a"].change(role=Role.REPLICA, term=2, received=tail, applied=tail)
@@ -108,7 +108,7 @@
     assert (await place(group, requirement)).upstream is group["b"]
 
 
-async def test_reads_go_on_while_replicas_vote_for_a_new_primary(group):
+async def test_reads_continue_while_replicas_vote_for_a_new_primary(group):
     group["a"].is_reachable = False
     group["a"].is_lost = True
     for name in "bc":
@@ -117,7 +117,7 @@
 
 
 @pytest.mark.parametrize("change", [{"is_leaving": True}, {"is_reachable": False}])
-async def test_upstream_that_leaves_or_is_lost_gets_no_read(group, change):
+async def test_leaving_or_unreachable_upstream_gets_no_read(group, change):
     for name, value in change.items():
         setattr(group["b"], name, value)
     names = {(await place(group)).upstream.name for _ in range(20)}
@@ -125,7 +125,7 @@
     assert (await place(group, excluded={"c"})).upstream is group["a"]
 
 
-async def test_position_that_nobody_reaches_is_an_error(group):
+async def test_unreached_position_is_an_error(group):
     group["a"].is_reachable = False
     requirement = ReadRequirement(minimum=LogPosition(1, 9))
     with pytest.raises(RequestError) as caught:
@@ -134,7 +134,7 @@
     assert caught.value.retry_after_s > 0
 
 
-async def test_larger_groups_hold_the_answers_of_replicas_too(group):
+async def test_answers_of_replicas_are_held_with_a_larger_majority(group):
     group.majority = 3
     assert (await place(group)).hold_until_confirmed
 
@@ -146,5 +146,7 @@
     assert (await place(group)).upstream.name in "bc"
     requirement = replace(STRICT, wrote_at_s=now_s())
     assert (await place(group, requirement)).upstream is group["a"]
-    requirement = replace(STRICT, wrote_at_s=now_s() - read_placement.AFTER_WRITE_S)
+    requirement = replace(
+        STRICT, wrote_at_s=now_s() - read_placement.PRIMARY_AFTER_WRITE_S
+    )
     assert (await place(group, requirement)).upstream.name in "bc"
--- a/ebonyrack/routing/read_round.py
+++ b/ebonyrack/routing/read_round.py
@@ -1,4 +1,4 @@
-"""One round of polls for the position that enough upstreams have received."""
+"""One round of polls for the highest log position that upstreams have received."""
 
 from __future__ import annotations
 
@@ -17,8 +17,9 @@
     from ebonyrack.upstreams.group import DatabaseGroup
     from ebonyrack.upstreams.upstream import Upstream
 
-# The primary is asked too if too few replicas have answered by then.
-HEDGE_AFTER_S = 0.005
+# The remaining upstreams, such as the primary, are polled too if too few have answered
+# by then.
+HEDGE_DELAY_S = 0.005
 RETRY_AFTER_S = 0.2
 
 Poll = asyncio.Task[UpstreamStatus]
@@ -27,13 +28,13 @@
 class PollRound:
     """Polls of upstreams until enough have answered, replicas before the primary.
 
-    Replicas' positions are lower than the primary's, so a read that waits for the
+    The replicas' positions are lower than the primary's, so a read that has to see the
     position is served earlier and does not wait for writes in progress.
 
     Attributes:
-        needed: Answers that are enough.
-        polls: Polls in flight, with the upstreams that they ask.
-        reserve: Upstreams that are asked if the first ones are late or lost.
+        needed: Number of answers that are needed.
+        polls: Polls in flight, with the upstreams that are polled.
+        reserve: Upstreams that are polled if the first ones are late or lost.
     """
 
     __slots__ = ("needed", "polls", "reserve")
@@ -45,8 +46,8 @@
 
         Args:
             group: The database group.
-            upstreams: Upstreams that may be asked.
-            needed: Answers that are enough.
+            upstreams: Upstreams that may be polled.
+            needed: Number of answers that are needed.
         """
         candidates = list(upstreams)
         first = choose_first(group, candidates, needed)
@@ -68,17 +69,17 @@
         """Wait until enough have answered.
 
         Returns:
-            Highest position received among those that answered.
+            Highest received position among the upstreams that answered.
 
         Raises:
             RequestError: NO_UPSTREAM if too few answer.
         """
         received: list[LogPosition] = []
         while len(received) < self.needed and (self.polls or self.reserve):
-            done = self.take_done()
+            done = self.pop_done()
             if not done:
-                await self.wait_first()
-                done = self.take_done()
+                await self.wait_for_first()
+                done = self.pop_done()
             # An upstream that lost its log may lack what an earlier majority held.
             answers = [
                 read_answer(poll)
@@ -94,18 +95,18 @@
             raise RequestError(ErrorKind.NO_UPSTREAM, reason, RETRY_AFTER_S)
         return max(received)
 
-    def take_done(self) -> dict[Poll, Upstream]:
-        """Return the polls that have ended; they leave `polls`."""
+    def pop_done(self) -> dict[Poll, Upstream]:
+        """Remove and return the polls that have ended."""
         done = {poll: self.polls[poll] for poll in self.polls if poll.done()}
         for poll in done:
             del self.polls[poll]
         return done
 
-    async def wait_first(self) -> None:
-        """Wait until one of the polls has ended or the reserve is to be asked."""
+    async def wait_for_first(self) -> None:
+        """Wait until one of the polls has ended or the reserve is due."""
         if not self.polls:
             return
-        timeout_s = HEDGE_AFTER_S if self.reserve else None
+        timeout_s = HEDGE_DELAY_S if self.reserve else None
         await asyncio.wait(
             self.polls, timeout=timeout_s, return_when=asyncio.FIRST_COMPLETED
         )
@@ -118,11 +119,12 @@
 
     Args:
         group: The database group.
-        upstreams: Upstreams that may be asked.
-        needed: Answers that are enough.
+        upstreams: Upstreams that may be polled.
+        needed: Number of answers that are needed.
 
     Returns:
-        The reachable replicas if they are enough, else all upstreams.
+        The replicas that may count in a majority if they are enough, else all
+        upstreams.
     """
     replicas = [
         upstream
@@ -136,10 +138,10 @@
     """Return the answer of a poll that has ended, or None if it failed.
 
     Args:
-        poll: The poll; cancelled if the document has its upstream no more.
+        poll: The poll; cancelled if its upstream was removed from the document.
 
     Raises:
-        BaseException: Whatever else than a lost upstream ended it.
+        BaseException: If the poll failed for another reason than a lost upstream.
     """
     if poll.cancelled():
         return None
--- a/ebonyrack/routing/read_search.py
+++ b/ebonyrack/routing/read_search.py
@@ -27,7 +27,7 @@
     Attributes:
         minimum: Position from the session's token, or None to see every write
             acknowledged before the read.
-        max_age_s: Age that the data may have, in seconds, or None.
+        max_age_s: Largest age of the data, in seconds, or None.
         own_writes: Position of the session's own last write; LOG_START for none.
         wrote_at_s: Monotonic time of that write, or None.
     """
@@ -44,13 +44,13 @@
 
     Attributes:
         upstream: The upstream.
-        minimum: Position that the upstream shows.
-        reason: Why this one.
+        minimum: Position that the upstream has applied.
+        reason: Why this upstream was chosen.
         waited_s: Seconds spent on the decision.
-        hold_until_confirmed: Whether the answer may show writes that no majority
-            holds yet, so that it has to wait until one does.
-        needs_replica: Whether the answer counts only if the upstream is still a
-            replica when it ends; one that was promoted meanwhile may show writes
+        hold_until_confirmed: Whether the answer may expose writes that no majority
+            holds yet, so that it has to be held back until one does.
+        needs_replica: Whether the answer is valid only if the upstream is still a
+            replica when it ends; one that was promoted meanwhile may expose writes
             that no majority holds.
     """
 
@@ -71,8 +71,8 @@
         read_index: Its read index.
         requirement: What the read must see.
         deadline_s: Monotonic time at which the request gives up.
-        excluded: Names of upstreams that are not to serve it.
-        started_s: Monotonic time of its beginning.
+        excluded: Names of upstreams that must not serve it.
+        started_s: Monotonic time at which the search began.
     """
 
     group: DatabaseGroup
@@ -96,12 +96,12 @@
 
 
 def find_replicas(search: Search) -> list[Upstream]:
-    """Return the replicas whose data may be shown.
+    """Return the replicas that may serve reads.
 
-    A replica's log may still end with entries that no majority ever held: those
-    that it wrote as primary, or took from one that was replaced. Its data counts
-    once it has applied an entry of the term that it follows, which drops them.
-    A grant to a ballot changes nothing in its data, so it serves on.
+    A replica's log may still end with entries that no majority ever held: those that it
+    wrote as primary or received from a primary that was replaced. Its data is valid
+    once it has applied an entry of the term that it follows, which drops them. A vote
+    in a ballot changes nothing in its data, so the replica keeps serving.
 
     Args:
         search: The search.
@@ -119,7 +119,7 @@
 
 
 def follows_term(upstream: Upstream, term: int) -> bool:
-    """Whether an upstream is a replica that shows entries of a term.
+    """Whether an upstream is a replica of a term that has applied an entry of it.
 
     Args:
         upstream: The upstream.
@@ -135,7 +135,7 @@
 
 
 def choose_replica(search: Search, minimum: LogPosition) -> Upstream | None:
-    """Choose the least busy replica that is known to show a position.
+    """Choose the least busy replica that is known to have applied a position.
 
     Args:
         search: The search.
@@ -149,7 +149,7 @@
 
 
 def has_applied(upstream: Upstream, minimum: LogPosition) -> bool:
-    """Whether an upstream is known to show a position.
+    """Whether an upstream is known to have applied a position.
 
     Args:
         upstream: The upstream.
@@ -159,13 +159,14 @@
 
 
 def measure_load(upstream: Upstream) -> tuple[float, float]:
-    """Return the requests on an upstream's pool for each of its connections.
+    """Return the number of requests per connection of an upstream's pool.
 
     Args:
         upstream: The upstream.
 
     Returns:
-        The load, and a random number that spreads requests over equal loads.
+        The load, and a random number that spreads requests over equally loaded
+        upstreams.
     """
     pool = upstream.pool
     load = (pool.busy_count + pool.waiting_count) / pool.limit
@@ -173,15 +174,15 @@
 
 
 async def wait_for_replica(search: Search, minimum: LogPosition) -> Upstream | None:
-    """Wait until a replica shows a position.
+    """Wait until a replica has applied a position.
 
     Args:
         search: The search.
         minimum: The position.
 
     Returns:
-        The first replica that gets there, or None after the group's `read_wait_s`
-        or if none is expected to get there by then.
+        The first replica to apply it, or None after the group's `read_wait_s` or if
+        no replica is expected to apply it by then.
     """
     wait_s = search.group.section.read_wait_s
     lag_limit_s = wait_s if find_primary(search, minimum) is not None else None
@@ -193,7 +194,7 @@
     if wait_s <= 0 or not candidates:
         return None
     polls = {
-        asyncio.create_task(poll_reached(upstream, minimum, wait_s))
+        asyncio.create_task(poll_until_reached(upstream, minimum, wait_s))
         for upstream in candidates
     }
     try:
@@ -208,10 +209,10 @@
     return None
 
 
-async def poll_reached(
+async def poll_until_reached(
     upstream: Upstream, minimum: LogPosition, wait_s: float
 ) -> Upstream | None:
-    """Wait until one replica shows a position.
+    """Wait until one replica has applied a position.
 
     Args:
         upstream: The replica.
@@ -219,7 +220,7 @@
         wait_s: Seconds to wait.
 
     Returns:
-        The replica, or None if it did not get there.
+        The replica, or None if it did not apply the position in time.
     """
     try:
         status = await upstream.poll(minimum, wait_s)
@@ -229,14 +230,15 @@
 
 
 def measure_lag(group: DatabaseGroup, upstream: Upstream) -> float:
-    """Return for how long the primary has been past what a replica shows.
+    """Return the replication lag of a replica, in seconds.
 
     Args:
         group: The database group.
         upstream: The replica.
 
     Returns:
-        Seconds.
+        Seconds for which the primary has been past the position that the replica has
+        applied.
     """
     if upstream.status is None:
         return 0.0
@@ -244,10 +246,10 @@
 
 
 def find_primary(search: Search, minimum: LogPosition) -> Upstream | None:
-    """Return the primary if its data surely covers a position.
+    """Return the primary if its data is certain to cover a position.
 
     A primary holds every entry that a majority held before its term, and all of
-    its own term. A position of a higher term shows that it was replaced.
+    its own term. A position of a higher term proves that it was replaced.
 
     Args:
         search: The search.
--- a/ebonyrack/routing/write_path.py
+++ b/ebonyrack/routing/write_path.py
@@ -1,4 +1,4 @@
-"""When a write may begin and when it may be acknowledged."""
+"""Decides when a write may begin and when it may be acknowledged."""
 
 from __future__ import annotations
 
@@ -18,13 +18,13 @@
     from ebonyrack.upstreams.group import DatabaseGroup
 
 LEASE_S = 5.0
-# Bounds on the time to come back that a refusal for lag names.
-SHORTEST_RETRY_S = 0.2
-LONGEST_RETRY_S = 1.0
+# Bounds of the retry-after time of a refusal for replication lag.
+MINIMUM_RETRY_S = 0.2
+MAXIMUM_RETRY_S = 1.0
 
 
 class AcknowledgePolicy:
-    """Acknowledges a write as soon as the primary committed it."""
+    """Acknowledges a write as soon as the primary has committed it."""
 
     __slots__ = ()
 
@@ -59,7 +59,7 @@
             group: The group.
 
         Returns:
-            Seconds that a ballot must wait; 0 if none.
+            Seconds that a ballot must wait; 0 if it need not wait.
         """
         return 0.0
 
@@ -78,7 +78,7 @@
         lag_s = group.compute_confirm_lag()
         if lag_s <= group.section.lag_refusal_s:
             return
-        retry_after_s = random.uniform(SHORTEST_RETRY_S, LONGEST_RETRY_S)
+        retry_after_s = random.uniform(MINIMUM_RETRY_S, MAXIMUM_RETRY_S)
         raise RequestError(
             ErrorKind.REPLICAS_LAG,
             f"group {group.name}: lag of {lag_s:.1f} s",
@@ -94,17 +94,17 @@
 
 @ACKNOWLEDGE_POLICIES.register("primary_alone")
 class PrimaryAloneAcknowledgement(AcknowledgePolicy):
-    """Baseline: the primary's commit is enough; a failover can lose the write."""
+    """Baseline: the primary's commit suffices, so a failover can lose the write."""
 
     __slots__ = ()
 
 
 @ACKNOWLEDGE_POLICIES.register("primary_lease")
 class PrimaryLeaseAcknowledgement(AcknowledgePolicy):
-    """Baseline: the primary's commit is enough while its lease lasts.
+    """Baseline: the primary's commit suffices while its lease lasts.
 
-    The lease begins with each poll that the primary answers; a ballot waits until
-    the last one is over.
+    Each poll that the primary answers starts a new lease; a ballot waits until the
+    last lease has expired.
     """
 
     __slots__ = ()
@@ -119,7 +119,7 @@
             )
 
     def compute_promotion_delay(self, group: DatabaseGroup) -> float:
-        """Return the rest of the primary's lease, in seconds."""
+        """Return the remaining time of the primary's lease, in seconds."""
         primary = group.upstreams.get(group.primary_name or "")
         if primary is None or primary.answered_at_s is None:
             return 0.0
@@ -156,7 +156,7 @@
 
     Raises:
         RequestError: OUTCOME_UNKNOWN if it was not confirmed in time; UPSTREAM_LOST
-            if a change of primary has undone it.
+            if a change of primary has rolled it back.
     """
     started_s = now_s()
     policy_name = group.section.acknowledge_policy
@@ -184,20 +184,20 @@
     outcome: str,
     waited_s: float,
 ) -> None:
-    """Log what came of a committed write.
+    """Log the outcome of a committed write.
 
     Args:
         group: The group.
         connection: Connection on which it was committed.
         position: Position of the commit.
-        policy_name: Policy that it waited under, before any edit meanwhile.
+        policy_name: Policy under which it waited, whatever edits came meanwhile.
         outcome: `acknowledged`, or the kind of the error.
-        waited_s: How long it waited, in seconds.
+        waited_s: Seconds for which it waited.
     """
     log_decision(
         "write_acknowledged",
         group=group.name,
-        upstream=find_name(group, connection),
+        upstream=find_upstream_name(group, connection),
         reason=policy_name,
         outcome=outcome,
         term=group.term,
@@ -206,8 +206,8 @@
     )
 
 
-def find_name(group: DatabaseGroup, connection: UpstreamConnection) -> str:
-    """Return the name of a connection's upstream, or its address if it has gone."""
+def find_upstream_name(group: DatabaseGroup, connection: UpstreamConnection) -> str:
+    """Return the name of a connection's upstream, or its address if it was removed."""
     for upstream in group.upstreams.values():
         if upstream.spec.address == connection.address:
             return upstream.name
--- a/ebonyrack/routing/write_path_test.py
+++ b/ebonyrack/routing/write_path_test.py
@@ -45,7 +45,7 @@
             return
         await group.poll_all()
         await asyncio.sleep(0.01)
-    raise AssertionError("the condition did not come true")
+    raise AssertionError("the condition was not met")
 
 
 async def insert(standins, group):
@@ -61,7 +61,7 @@
     return caught.value
 
 
-async def test_write_is_admitted_while_replicas_follow(standins, group):
+async def test_write_is_admitted_while_replicas_keep_up(standins, group):
     check_write_admitted(group)
     await insert(standins, group)
     await group.poll_all()
@@ -98,7 +98,7 @@
     assert error.retry_after_s > 0
 
 
-async def test_log_names_the_upstream_of_a_write(standins, group):
+async def test_log_line_of_a_write_names_its_upstream(standins, group):
     lines = []
     handler = logger.add(lambda text: lines.append(text.record))
     try:
@@ -113,7 +113,7 @@
     assert [line["extra"]["upstream"] for line in written] == ["up-1"]
 
 
-async def test_lease_acknowledges_alone_and_delays_the_promotion(standins, group):
+async def test_primary_lease_acknowledges_alone_and_delays_promotion(standins, group):
     policy = ACKNOWLEDGE_POLICIES.get("primary_lease")()
     standins.set_lag(0.0, receive_delay_s=60.0)
     position = await insert(standins, group)
@@ -128,7 +128,9 @@
     assert caught.value.kind is ErrorKind.OUTCOME_UNKNOWN
 
 
-async def test_majority_does_not_acknowledge_what_one_upstream_holds(standins, group):
+async def test_majority_does_not_acknowledge_a_write_held_by_one_upstream(
+    standins, group
+):
     policy = ACKNOWLEDGE_POLICIES.get("majority")()
     standins.set_lag(0.0, receive_delay_s=60.0)
     position = await insert(standins, group)
@@ -137,7 +139,7 @@
     assert caught.value.kind is ErrorKind.OUTCOME_UNKNOWN
 
 
-async def test_commit_of_a_term_not_heard_of_yet_waits_for_its_news(standins, group):
+async def test_outcome_of_a_commit_in_an_unknown_term_is_unknown(standins, group):
     with pytest.raises(RequestError) as caught:
         await group.confirm(LogPosition(99, 1), now_s() + 0.1)
     assert caught.value.kind is ErrorKind.OUTCOME_UNKNOWN
