--- a/ebonyrack/upstreams/authentication.py
+++ b/ebonyrack/upstreams/authentication.py
@@ -1,4 +1,4 @@
-"""Start of a session with an upstream: startup message and SCRAM."""
+"""Session startup with an upstream: startup message and authentication."""
 
 from __future__ import annotations
 
@@ -26,16 +26,16 @@
 CODE_SASL = 10
 CODE_SASL_CONTINUE = 11
 CODE_SASL_FINAL = 12
-# Bounds what an upstream may send before it is ready.
+# Limits how many messages an upstream may send before ReadyForQuery.
 MAXIMUM_STARTUP_MESSAGES = 200
 
 
-def build_lost_error(message: Message, step: str) -> UpstreamLostError:
-    """Turn an ErrorResponse into the error that ends the connection.
+def build_rejected_error(message: Message, step: str) -> UpstreamLostError:
+    """Convert an ErrorResponse into the error that ends the connection.
 
     Args:
         message: The ErrorResponse.
-        step: What was being done.
+        step: The step that failed.
 
     Returns:
         The error, with the upstream's SQLSTATE.
@@ -43,25 +43,25 @@
     fields = ErrorResponse.decode(message.payload[:-1]).fields
     sqlstate = fields.get("C", "")
     text = fields.get("M", "")
-    return UpstreamLostError(f"{step} refused: {sqlstate} {text}", sqlstate)
+    return UpstreamLostError(f"{step} rejected: {sqlstate} {text}", sqlstate)
 
 
 async def read_startup_message(frames: FrameTransport) -> Message:
-    """Read the next message that the start of a session depends on.
+    """Read the next message of the startup phase, skipping notices.
 
     Args:
         frames: The connection.
 
     Returns:
-        The message, notices left out.
+        The message.
 
     Raises:
-        UpstreamLostError: If the upstream answers an error or goes away.
+        UpstreamLostError: If the upstream reports an error or disconnects.
     """
     for _ in range(MAXIMUM_STARTUP_MESSAGES):
         message = await frames.read_frame()
         if message.kind == b"E":
-            raise build_lost_error(message, "startup")
+            raise build_rejected_error(message, "startup")
         if message.kind not in (b"N", b"v"):
             return message
     raise UpstreamLostError("the upstream does not finish its startup")
@@ -72,13 +72,13 @@
 
     Args:
         frames: The connection.
-        expected: Code that must come now.
+        expected: Code that the message must have.
 
     Returns:
         Its payload.
 
     Raises:
-        UpstreamLostError: If another message comes.
+        UpstreamLostError: If a different message arrives.
     """
     message = await read_startup_message(frames)
     code = read_code(message)
@@ -97,27 +97,29 @@
         The code.
 
     Raises:
-        UpstreamLostError: If it is another message.
+        UpstreamLostError: If it is not an authentication message.
     """
     if message.kind != b"R" or len(message.payload) < AUTHENTICATION_CODE.size:
-        raise UpstreamLostError(f"message {message.kind!r} during authentication")
+        raise UpstreamLostError(
+            f"unexpected message {message.kind!r} during authentication"
+        )
     (code,) = AUTHENTICATION_CODE.unpack_from(message.payload)
     return int(code)
 
 
 async def authenticate(frames: FrameTransport, user: str, password: str) -> None:
-    """Answer the upstream's authentication request.
+    """Authenticate as the upstream requests.
 
-    Trust and SCRAM-SHA-256 are answered. Clear text and MD5 are refused, since they
-    would show the password to whoever holds the upstream's address.
+    Trust and SCRAM-SHA-256 are supported. Clear text and MD5 are rejected, since they
+    would reveal the password to whoever has taken over the upstream's address.
 
     Args:
         frames: The connection, after the startup message.
         user: User name.
-        password: Password, or an empty string where the upstream trusts.
+        password: Password; empty if the upstream uses trust authentication.
 
     Raises:
-        UpstreamLostError: If the upstream refuses or asks for another method.
+        UpstreamLostError: If authentication fails or another method is requested.
     """
     message = await read_startup_message(frames)
     code = read_code(message)
@@ -135,7 +137,7 @@
 
 
 async def exchange_scram(frames: FrameTransport, user: str, password: str) -> None:
-    """Run SCRAM-SHA-256 and check the upstream's proof too.
+    """Run SCRAM-SHA-256, also verifying the upstream's signature.
 
     Args:
         frames: The connection.
@@ -143,8 +145,8 @@
         password: Password.
 
     Raises:
-        ScramException: If the upstream's messages don't prove the password.
-        UpstreamLostError: If it refuses or goes away.
+        ScramException: If the upstream does not prove that it knows the password.
+        UpstreamLostError: If the upstream rejects the login or disconnects.
     """
     client = ScramClient([MECHANISM], user, password)
     first = client.get_client_first().encode()
@@ -159,8 +161,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class SessionStart:
-    """What an upstream says at the start of a session.
+class StartupResult:
+    """What an upstream reports during session startup.
 
     Attributes:
         key: Key for cancel requests.
@@ -175,20 +177,20 @@
 
 async def start_session(
     frames: FrameTransport, user: str, password: str, database: str
-) -> SessionStart:
+) -> StartupResult:
     """Start a session up to the first ReadyForQuery.
 
     Args:
-        frames: A fresh connection.
+        frames: A new connection.
         user: User name.
         password: Password.
         database: Database name.
 
     Returns:
-        What the upstream says about the session.
+        What the upstream reports about the session.
 
     Raises:
-        UpstreamLostError: If the upstream refuses or goes away.
+        UpstreamLostError: If the upstream rejects the session or disconnects.
     """
     names = {"user": user, "database": database, "client_encoding": "UTF8"}
     frames.write(StartupMessage(params=names).to_wire())
@@ -202,7 +204,9 @@
         elif message.kind == b"S":
             parameters.append(message)
         elif message.kind == b"Z":
-            return SessionStart(key, chr(message.payload[0]), tuple(parameters))
+            return StartupResult(key, chr(message.payload[0]), tuple(parameters))
         else:
-            raise UpstreamLostError(f"message {message.kind!r} during startup")
+            raise UpstreamLostError(
+                f"unexpected message {message.kind!r} during startup"
+            )
     raise UpstreamLostError("the upstream does not finish its startup")
--- a/ebonyrack/upstreams/confirmation.py
+++ b/ebonyrack/upstreams/confirmation.py
@@ -1,4 +1,4 @@
-"""Confirmation of a committed write, also across a change of primary."""
+"""Confirms committed writes, also across a change of primary."""
 
 from __future__ import annotations
 
@@ -13,45 +13,45 @@
     from ebonyrack.upstreams.group import DatabaseGroup
 
 PRIMARY_WAIT_S = 0.5
-RETRY_PAUSE_S = 0.02
+RETRY_DELAY_S = 0.02
 CONTROL_TIMEOUT_S = 0.5
 
 
 async def try_confirm(group: DatabaseGroup, position: LogPosition) -> bool:
-    """Try to confirm a write in what is the present term.
+    """Try to confirm a write in the current term.
 
     Args:
         group: The group.
         position: Position of the commit.
 
     Returns:
-        Whether it is confirmed; False to try again.
+        Whether it is confirmed; on False the caller tries again.
 
     Raises:
-        RequestError: UPSTREAM_LOST if a change of primary has undone it.
+        RequestError: UPSTREAM_LOST if a change of primary has discarded the commit.
     """
     if position.term > group.term:
         group.wake_monitors()
-        await group.changed.wait(RETRY_PAUSE_S)
+        await group.changed.wait(RETRY_DELAY_S)
         return False
     if position.term < group.term:
-        return await confirm_in_history(group, position)
+        return await confirm_earlier_term(group, position)
     confirmed = await group.wait_for_majority(position)
     return confirmed and position.term == group.term
 
 
-async def confirm_in_history(group: DatabaseGroup, position: LogPosition) -> bool:
-    """Find out whether a write of an earlier term is in the present one's log.
+async def confirm_earlier_term(group: DatabaseGroup, position: LogPosition) -> bool:
+    """Check whether the current term's log contains a write of an earlier term.
 
     Args:
         group: The group.
         position: Position of the commit.
 
     Returns:
-        Whether it is and a majority holds it; False to try again.
+        Whether it does and a majority holds it; on False the caller tries again.
 
     Raises:
-        RequestError: UPSTREAM_LOST if the present term's log lacks it for good.
+        RequestError: UPSTREAM_LOST if a majority holds a log of this term without it.
     """
     primary = group.primary()
     if primary is None:
@@ -60,20 +60,20 @@
     term = group.term
     contract = primary.contract
     try:
-        answer = await primary.call(contract.build_holds(position), CONTROL_TIMEOUT_S)
-        holds = contract.parse_holds(answer.rows[0])
+        result = await primary.call(contract.build_holds(position), CONTROL_TIMEOUT_S)
+        holds = contract.parse_holds(result.rows[0])
     except (UpstreamLostError, ValueError):
-        await group.changed.wait(RETRY_PAUSE_S)
+        await group.changed.wait(RETRY_DELAY_S)
         return False
     if holds.term != term or holds.received.term != term:
-        await group.changed.wait(RETRY_PAUSE_S)
+        await group.changed.wait(RETRY_DELAY_S)
         return False
-    # The log that answered counts only once a majority holds it too.
+    # The primary's log is decisive only once a majority holds it too.
     if not await group.wait_for_majority(holds.received):
         return False
     if not holds.held:
         raise RequestError(
             ErrorKind.UPSTREAM_LOST,
-            f"the commit at {position} was undone by term {term}",
+            f"the commit at {position} was discarded by term {term}",
         )
     return True
--- a/ebonyrack/upstreams/confirmation_tracker.py
+++ b/ebonyrack/upstreams/confirmation_tracker.py
@@ -1,4 +1,4 @@
-"""Writes that wait until a majority of the upstreams holds them."""
+"""Tracks which committed writes are stored by a majority of the upstreams."""
 
 from __future__ import annotations
 
@@ -18,12 +18,12 @@
 
 @dataclass(order=True, slots=True)
 class PendingConfirmation:
-    """One write that waits.
+    """A write that waits for its confirmation.
 
     Attributes:
-        offset: Offset of its commit in the present term.
+        offset: Offset of its commit in the current term.
         number: Order of arrival, which breaks ties.
-        outcome: Set to whether it was confirmed before the term ended.
+        outcome: Resolved to whether it was confirmed before the term ended.
     """
 
     offset: int
@@ -32,85 +32,92 @@
 
 
 class ConfirmationTracker:
-    """The waiting writes of one term and what each replica holds of it.
+    """Pending writes of one term and the log offset that each replica has received.
 
-    A replica counts only while it follows the term and has granted no higher one:
-    then its grant to any later ballot reports what it holds now. What it held once
-    in the term it keeps, so the highest answer counts.
+    A replica is counted only while it follows the term and has granted no higher
+    one: its grant to any later ballot then reports at least what it holds now. Within
+    the term a replica keeps what it has received, so its highest report counts.
 
     Attributes:
         term: The term.
-        primary_name: Name of the term's primary. It is counted already, also when it
-            has restarted and answers as a replica of its own term.
-        needed: Replicas that must hold a write, the primary not counted.
-        held: Replica's name to the last offset that it holds.
-        confirmed: Offset up to which a majority holds the log.
-        waiting: Waiting writes, lowest offset first.
-        added: Notified when a write begins to wait and when the term is over.
+        primary_name: Name of the term's primary. It already counts towards the
+            majority and must not be counted again, even if it has restarted and
+            reports as a replica of its own term.
+        required_replicas: Number of replicas that must hold a write, not counting the
+            primary.
+        held_offsets: Last offset that each replica holds, by name.
+        confirmed_offset: Offset up to which a majority holds the log.
+        pending: Heap of the pending writes, lowest offset first.
+        pending_changed: Notified when a pending write is added and when the term ends.
     """
 
     __slots__ = (
         "term",
         "primary_name",
-        "needed",
-        "held",
-        "confirmed",
-        "waiting",
-        "added",
+        "required_replicas",
+        "held_offsets",
+        "confirmed_offset",
+        "pending",
+        "pending_changed",
         "numbers",
     )
 
-    def __init__(self, term: int, primary_name: str | None, needed: int) -> None:
+    def __init__(
+        self, term: int, primary_name: str | None, required_replicas: int
+    ) -> None:
         self.term = term
         self.primary_name = primary_name
-        self.needed = needed
-        self.held: dict[str, int] = {}
-        self.confirmed = 0
-        self.waiting: list[PendingConfirmation] = []
-        self.added = Notifier()
+        self.required_replicas = required_replicas
+        self.held_offsets: dict[str, int] = {}
+        self.confirmed_offset = 0
+        self.pending: list[PendingConfirmation] = []
+        self.pending_changed = Notifier()
         self.numbers = itertools.count()
 
     def observe(self, name: str, status: UpstreamStatus) -> bool:
-        """Count what a replica holds and settle the writes that it covers.
+        """Record what a replica holds and resolve the writes confirmed by it.
 
         Args:
             name: Name of the upstream.
-            status: Its answer.
+            status: Its reported status.
 
         Returns:
-            Whether it holds more than it was counted with before.
+            Whether the replica's recorded offset advanced.
         """
-        if name == self.primary_name or not counts_for(status, self.term):
+        if name == self.primary_name or not can_confirm(status, self.term):
             return False
         offset = status.received.offset
-        if offset <= self.held.get(name, 0):
+        if offset <= self.held_offsets.get(name, 0):
             return False
-        self.held[name] = offset
-        self.settle()
+        self.held_offsets[name] = offset
+        self.resolve_confirmed()
         return True
 
-    def forget(self, name: str) -> None:
-        """Count a replica no more with what it held.
+    def discard_replica(self, name: str) -> None:
+        """Discard the recorded offset of a replica that has lost its log.
 
         Args:
-            name: Name of the replica, which has lost its log.
+            name: Name of the replica.
         """
-        self.held.pop(name, None)
-
-    def settle(self) -> None:
-        """Confirm every write that enough replicas hold."""
-        offsets = sorted(self.held.values(), reverse=True)
-        if self.needed and len(offsets) >= self.needed:
-            self.confirmed = max(self.confirmed, offsets[self.needed - 1])
-        while self.waiting and (
-            self.waiting[0].outcome.done() or self.waiting[0].offset <= self.confirmed
+        self.held_offsets.pop(name, None)
+
+    def resolve_confirmed(self) -> None:
+        """Resolve every pending write that enough replicas hold."""
+        offsets = sorted(self.held_offsets.values(), reverse=True)
+        if self.required_replicas and len(offsets) >= self.required_replicas:
+            self.confirmed_offset = max(
+                self.confirmed_offset, offsets[self.required_replicas - 1]
+            )
+        while self.pending and (
+            self.pending[0].outcome.done()
+            or self.pending[0].offset <= self.confirmed_offset
         ):
-            entry = heapq.heappop(self.waiting)
+            entry = heapq.heappop(self.pending)
             if not entry.outcome.done():
                 entry.outcome.set_result(True)
 
     async def wait(self, offset: int) -> bool:
-        """Wait until a write is confirmed or the term is over.
+        """Wait until a write is confirmed or the term ends.
 
         Args:
             offset: Offset of its commit.
@@ -118,53 +125,54 @@
         Returns:
             Whether it was confirmed; False if the term ended first.
         """
-        if offset <= self.confirmed or self.needed == 0:
+        if offset <= self.confirmed_offset or self.required_replicas == 0:
             return True
         outcome: asyncio.Future[bool] = asyncio.get_running_loop().create_future()
         heapq.heappush(
-            self.waiting, PendingConfirmation(offset, next(self.numbers), outcome)
+            self.pending, PendingConfirmation(offset, next(self.numbers), outcome)
         )
-        self.added.notify()
+        self.pending_changed.notify()
         try:
             return await outcome
         finally:
             outcome.cancel()
 
     def find_lowest_missing(self, name: str) -> int | None:
-        """Return the lowest offset waited for that a replica is not known to hold.
+        """Return the lowest pending offset that a replica is not known to hold.
 
         Args:
             name: Name of the replica.
 
         Returns:
-            The offset, or None if nothing is missing there.
+            The offset, or None if the replica holds every pending write.
         """
-        held = self.held.get(name, 0)
+        held = self.held_offsets.get(name, 0)
         missing = (
             entry.offset
-            for entry in self.waiting
+            for entry in self.pending
             if entry.offset > held and not entry.outcome.done()
         )
         return min(missing, default=None)
 
     def end_term(self) -> None:
-        """Tell every waiting write that the term is over."""
-        for entry in self.waiting:
+        """Resolve every pending write as not confirmed, since the term is over."""
+        for entry in self.pending:
             if not entry.outcome.done():
                 entry.outcome.set_result(False)
-        self.waiting.clear()
-        self.added.notify()
+        self.pending.clear()
+        self.pending_changed.notify()
 
 
-def counts_for(status: UpstreamStatus, term: int) -> bool:
-    """Tell whether a replica's answer may confirm writes of a term.
+def can_confirm(status: UpstreamStatus, term: int) -> bool:
+    """Return whether a status report may confirm writes of a term.
 
     Args:
-        status: The answer.
+        status: The reported status.
         term: The term.
 
     Returns:
-        Whether it follows the term, granted no higher one and holds entries of it.
+        Whether the upstream is a replica that follows the term, has granted no higher
+        one and has received entries of it.
     """
     return (
         status.role is Role.REPLICA
--- a/ebonyrack/upstreams/confirmation_tracker_test.py
+++ b/ebonyrack/upstreams/confirmation_tracker_test.py
@@ -8,8 +8,10 @@
 TERM = 5
 
 
-def build_status(offset, role=Role.REPLICA, term=TERM, fenced_term=TERM, wrote=TERM):
-    position = LogPosition(wrote, offset)
+def build_status(
+    offset, role=Role.REPLICA, term=TERM, fenced_term=TERM, entry_term=TERM
+):
+    position = LogPosition(entry_term, offset)
     return UpstreamStatus(role, term, fenced_term, position, position, False)
 
 
@@ -21,7 +23,7 @@
     return done
 
 
-async def test_as_many_replicas_as_needed_confirm():
+async def test_write_is_confirmed_once_enough_replicas_hold_it():
     confirmations = ConfirmationTracker(TERM, "up-1", 2)
     confirmations.observe("up-2", build_status(7))
     assert not await is_confirmed(confirmations, 7)
@@ -32,35 +34,35 @@
     assert not await is_confirmed(confirmations, 9)
 
 
-async def test_answers_that_prove_nothing_for_the_term_are_not_counted():
+async def test_status_that_proves_nothing_for_the_term_is_not_counted():
     confirmations = ConfirmationTracker(TERM, "up-1", 1)
-    # The primary restarted and answers as a replica of its own term.
+    # The primary restarted and reports as a replica of its own term.
     confirmations.observe("up-1", build_status(9))
     confirmations.observe("up-2", build_status(9, role=Role.PRIMARY))
     confirmations.observe("up-2", build_status(9, term=TERM - 1))
     confirmations.observe("up-2", build_status(9, fenced_term=TERM + 1))
-    # It follows the term but has not cut its own log back to it yet.
-    confirmations.observe("up-2", build_status(9, wrote=TERM - 1))
+    # It follows the term but has not truncated its own log to match it yet.
+    confirmations.observe("up-2", build_status(9, entry_term=TERM - 1))
     assert not await is_confirmed(confirmations, 1)
 
 
-async def test_replica_that_lost_its_log_is_not_counted_with_what_it_held():
+async def test_discarded_replica_does_not_confirm_writes_it_held_before():
     confirmations = ConfirmationTracker(TERM, "up-1", 2)
     confirmations.observe("up-2", build_status(9))
-    confirmations.forget("up-2")
+    confirmations.discard_replica("up-2")
     confirmations.observe("up-3", build_status(9))
     assert not await is_confirmed(confirmations, 9)
     confirmations.observe("up-2", build_status(9))
     assert await is_confirmed(confirmations, 9)
 
 
-async def test_end_of_the_term_is_told_to_all_who_wait():
+async def test_end_of_term_fails_all_pending_writes():
     confirmations = ConfirmationTracker(TERM, "up-1", 1)
-    waiting = [asyncio.create_task(confirmations.wait(offset)) for offset in (3, 1, 2)]
+    pending = [asyncio.create_task(confirmations.wait(offset)) for offset in (3, 1, 2)]
     await asyncio.sleep(0)
     assert confirmations.find_lowest_missing("up-2") == 1
     confirmations.observe("up-2", build_status(1))
     assert confirmations.find_lowest_missing("up-2") == 2
     confirmations.end_term()
-    assert await asyncio.gather(*waiting) == [False, True, False]
+    assert await asyncio.gather(*pending) == [False, True, False]
     assert confirmations.find_lowest_missing("up-2") is None
--- a/ebonyrack/upstreams/confirmed_log.py
+++ b/ebonyrack/upstreams/confirmed_log.py
@@ -1,4 +1,4 @@
-"""What an upstream was counted with, and whether it has lost it since."""
+"""Detects that an upstream has lost confirmed log entries."""
 
 from __future__ import annotations
 
@@ -8,89 +8,90 @@
 
 
 class ConfirmedLog:
-    """The part of an upstream's log that made a majority for confirmed writes.
+    """The confirmed part of an upstream's log, and whether the upstream still has it.
 
-    No change of primary cuts a confirmed position out of a log. An upstream that
-    reports less than it was counted with has lost its log, as a VM does that comes
-    back under its old name with an empty disk. It makes no majority until it holds
-    all that the serving primary held after the loss was seen.
+    No change of primary removes a confirmed position from a log. An upstream that
+    reports less than the position with which it was counted in a majority has lost
+    its log, for example a VM that returned under its old name with an empty disk. It
+    counts in no majority until it holds everything that the serving primary held
+    after the loss was detected.
 
     Attributes:
-        position: Highest confirmed position that the upstream was counted with.
-        counted_at_s: Monotonic time at which it was last raised.
-        lost_at_s: Monotonic time at which the loss was seen, or None.
-        target: Position to reach before it counts again, or None while the primary
-            has not been asked since.
+        position: Highest confirmed position that the upstream is known to have held.
+        confirmed_at_s: Monotonic time at which `position` last advanced.
+        regressed_at_s: Monotonic time at which the loss was detected, or None.
+        catch_up_target: Position to reach before the upstream counts again, or None
+            while the primary has not been polled since the loss.
     """
 
-    __slots__ = ("position", "counted_at_s", "lost_at_s", "target")
+    __slots__ = ("position", "confirmed_at_s", "regressed_at_s", "catch_up_target")
 
     def __init__(self) -> None:
         self.position = LOG_START
-        self.counted_at_s = 0.0
-        self.lost_at_s: float | None = None
-        self.target: LogPosition | None = None
+        self.confirmed_at_s = 0.0
+        self.regressed_at_s: float | None = None
+        self.catch_up_target: LogPosition | None = None
 
     @property
-    def is_lost(self) -> bool:
-        """Whether it lacks what it was counted with."""
-        return self.lost_at_s is not None
+    def is_regressed(self) -> bool:
+        """Whether the upstream lacks confirmed log entries."""
+        return self.regressed_at_s is not None
 
-    def count(self, position: LogPosition) -> None:
-        """Remember a confirmed position that the upstream was counted with.
+    def record_confirmed(self, position: LogPosition) -> None:
+        """Record a confirmed position that the upstream holds.
 
         Args:
             position: The position.
         """
         if position > self.position:
             self.position = position
-            self.counted_at_s = now_s()
+            self.confirmed_at_s = now_s()
 
-    def observe(self, received: LogPosition, asked_at_s: float) -> bool:
-        """Draw the conclusions from what the upstream has received.
+    def observe(self, received: LogPosition, poll_sent_at_s: float) -> bool:
+        """Update the state from the position that the upstream reports.
 
-        Two connections may answer in another order than they were asked, so an
-        answer proves nothing if it was asked for before the last conclusion.
+        Replies on two connections may arrive out of order, so a reply is ignored if
+        its poll was sent before the last change of state.
 
         Args:
             received: Position of the last entry of its log.
-            asked_at_s: Monotonic time at which it was asked for.
+            poll_sent_at_s: Monotonic time at which the poll was sent.
 
         Returns:
-            Whether it was found lost, or complete again.
+            Whether a loss was detected, or the log has caught up.
         """
-        if self.lost_at_s is None:
-            if received >= self.position or asked_at_s <= self.counted_at_s:
+        if self.regressed_at_s is None:
+            if received >= self.position or poll_sent_at_s <= self.confirmed_at_s:
                 return False
-            self.lost_at_s = now_s()
-            self.target = None
+            self.regressed_at_s = now_s()
+            self.catch_up_target = None
             return True
-        if asked_at_s <= self.lost_at_s or not self.holds(received):
+        if poll_sent_at_s <= self.regressed_at_s or not self.holds(received):
             return False
-        self.lost_at_s = None
+        self.regressed_at_s = None
         return True
 
-    def observe_primary(self, received: LogPosition, asked_at_s: float) -> None:
-        """Set what a lost log must reach from an answer of the serving primary.
+    def observe_primary(self, received: LogPosition, poll_sent_at_s: float) -> None:
+        """Set the catch-up target from a status of the serving primary.
 
         Args:
             received: Position of the last entry of the primary's log.
-            asked_at_s: Monotonic time at which the primary was asked.
+            poll_sent_at_s: Monotonic time at which the poll of the primary was sent.
         """
-        if self.lost_at_s is None or self.target is not None:
+        if self.regressed_at_s is None or self.catch_up_target is not None:
             return
-        if asked_at_s > self.lost_at_s:
-            self.target = max(received, self.position)
+        if poll_sent_at_s > self.regressed_at_s:
+            self.catch_up_target = max(received, self.position)
 
     def holds(self, received: LogPosition) -> bool:
-        """Tell whether a log that ends at a position may count in a majority.
+        """Return whether a log that ends at a position may count in a majority.
 
         Args:
-            received: Position of its last entry, as a grant or answer reports it.
+            received: Position of its last entry, as reported by a grant or status.
 
         Returns:
-            Whether it holds all that is known to be needed.
+            Whether it holds every entry that it is known to need.
         """
-        if self.lost_at_s is None:
+        if self.regressed_at_s is None:
             return received >= self.position
-        return self.target is not None and received >= self.target
+        return self.catch_up_target is not None and received >= self.catch_up_target
--- a/ebonyrack/upstreams/conftest.py
+++ b/ebonyrack/upstreams/conftest.py
@@ -1,4 +1,4 @@
-"""A scripted upstream for the tests of connections and pools."""
+"""A scripted upstream for tests of connections and pools."""
 
 from __future__ import annotations
 
@@ -28,13 +28,13 @@
 
 
 def build_error(sqlstate: str) -> bytes:
-    """Build an ErrorResponse with a code."""
+    """Build an ErrorResponse with a SQLSTATE."""
     fields = {"S": "ERROR", "V": "ERROR", "C": sqlstate, "M": "scripted"}
     return ErrorResponse(fields=fields).to_wire()
 
 
-def build_answer(value: str, status: bytes = b"I") -> bytes:
-    """Build the whole answer of a query with one value."""
+def build_response(value: str, status: bytes = b"I") -> bytes:
+    """Build the complete response to a query that returns one value."""
     return (
         RowDescription(fields=[FieldDescription(name="value")]).to_wire()
         + DataRow(columns=[value.encode()]).to_wire()
@@ -45,35 +45,35 @@
 
 
 class FakeUpstream:
-    """Accepts sessions and answers each simple query as the test says.
+    """Accepts sessions and replies to simple queries as scripted by the test.
 
     Attributes:
-        password: Password to ask for by SCRAM, or an empty string to trust.
-        proves_itself: Whether its proof of the password is valid.
-        limit: Sessions accepted at a time; more are refused with 53300.
-        answers: Query text to raw answer; other queries are echoed as a value.
-        silent: Queries that are never answered.
-        cancels: Process numbers of the cancel requests that came.
-        queries: Query texts that came, in order.
-        peak: Largest number of sessions at a time.
+        password: Password required by SCRAM; empty for trust authentication.
+        signs_correctly: Whether its SCRAM server signature is valid.
+        limit: Maximum number of concurrent sessions; more are rejected with 53300.
+        responses: Raw response by query text; other queries are echoed as a value.
+        silent: Queries that never get a reply.
+        cancels: Process ids of the received cancel requests.
+        queries: Texts of the received queries, in order.
+        peak_sessions: Largest number of concurrent sessions.
     """
 
     def __init__(self) -> None:
         self.password = ""
-        self.proves_itself = True
+        self.signs_correctly = True
         self.limit = 1000
-        self.answers: dict[str, bytes] = {}
+        self.responses: dict[str, bytes] = {}
         self.silent: set[str] = set()
         self.cancels: list[int] = []
         self.queries: list[str] = []
-        self.peak = 0
+        self.peak_sessions = 0
         self.writers: set[asyncio.StreamWriter] = set()
         self.opened = 0
         self.server: asyncio.Server | None = None
 
     @property
     def address(self) -> Address:
-        """Where it listens."""
+        """The address on which it listens."""
         assert self.server is not None
         return Address(*self.server.sockets[0].getsockname()[:2])
 
@@ -82,14 +82,14 @@
         self.server = await asyncio.start_server(self.serve, "127.0.0.1", 0)
 
     async def stop(self) -> None:
-        """Stop listening and drop every session."""
+        """Stop listening and abort every session."""
         assert self.server is not None
         self.server.close()
         self.drop_sessions()
         await self.server.wait_closed()
 
     def drop_sessions(self) -> None:
-        """Break every session."""
+        """Abort every session."""
         for writer in list(self.writers):
             writer.transport.abort()
 
@@ -108,7 +108,7 @@
                 return
             self.writers.add(writer)
             self.opened += 1
-            self.peak = max(self.peak, len(self.writers))
+            self.peak_sessions = max(self.peak_sessions, len(self.writers))
             await self.serve_session(reader, writer)
         except (asyncio.IncompleteReadError, ConnectionError):
             pass
@@ -119,7 +119,7 @@
     async def serve_session(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
-        """Authenticate and answer queries until the session ends."""
+        """Authenticate and reply to queries until the session ends."""
         if self.password:
             await self.authenticate(reader, writer)
         writer.write(AuthenticationOk().to_wire())
@@ -132,12 +132,12 @@
             sql = payload[:-1].decode()
             self.queries.append(sql)
             if sql not in self.silent:
-                writer.write(self.answers.get(sql, build_answer(sql)))
+                writer.write(self.responses.get(sql, build_response(sql)))
 
     async def authenticate(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
-        """Run SCRAM as the server."""
+        """Run the server side of SCRAM."""
         mechanism = ScramMechanism()
         secret = mechanism.make_auth_info(self.password)
         server = mechanism.make_server(lambda user: secret)
@@ -155,7 +155,7 @@
             writer.write(build_error("28P01"))
             raise ConnectionError("wrong password") from None
         data = server.get_server_final().encode()
-        if not self.proves_itself:
+        if not self.signs_correctly:
             data = b"v=" + b"A" * 43 + b"="
         writer.write(AuthenticationSASLFinal(data=data).to_wire())
 
@@ -167,7 +167,7 @@
 
 @pytest.fixture
 async def upstream() -> AsyncIterator[FakeUpstream]:
-    """A scripted upstream that listens."""
+    """A scripted upstream that is listening."""
     fake = FakeUpstream()
     await fake.start()
     try:
--- a/ebonyrack/upstreams/connection.py
+++ b/ebonyrack/upstreams/connection.py
@@ -1,4 +1,4 @@
-"""One session with an upstream: raw messages, control queries, cancel requests."""
+"""A session with an upstream: raw messages, control queries, cancel requests."""
 
 from __future__ import annotations
 
@@ -35,16 +35,16 @@
 
     Attributes:
         address: Address of the upstream.
-        process_id: Process number for cancel requests.
-        secret_key: Secret for cancel requests.
+        process_id: Backend process id for cancel requests.
+        secret_key: Secret key for cancel requests.
         transaction_status: `I` idle, `T` in a transaction, `E` in a failed one.
-        pending_replies: ReadyForQuery messages still to come.
-        is_unsynced: Whether messages were sent that no Sync has closed yet.
-        is_cancelled: Whether a cancel request was sent; it may strike late.
-        is_standby: Whether the upstream last said that it is a replica; None if it
-            does not say. It says so again before the ReadyForQuery that follows a
-            change, so a read that ended with it True has seen a replica's data.
-        prepared: Prepared statements known to the upstream, in order of use.
+        pending_replies: Number of ReadyForQuery messages still expected.
+        is_unsynced: Whether messages were sent that no Sync has followed yet.
+        is_cancelled: Whether a cancel request was sent; it may take effect late.
+        is_standby: Whether the upstream last reported that it is a replica; None if it
+            does not report it. A change is reported before the next ReadyForQuery,
+            so a read after which this is True has seen a replica's data.
+        prepared: Prepared statements known to the upstream, least recently used first.
     """
 
     __slots__ = (
@@ -74,17 +74,17 @@
 
     @property
     def is_closed(self) -> bool:
-        """Whether the connection has ended, on either side."""
+        """Whether either side has closed the connection."""
         return self.frames.lost_reason is not None
 
     @property
     def is_idle_in_transaction(self) -> bool:
-        """Whether it counts as unused; a transaction between statements does not."""
+        """Whether it counts as unused; an idle transaction does not."""
         return False
 
     @property
     def is_clean(self) -> bool:
-        """Whether another caller may use the connection."""
+        """Whether the connection may be reused by another caller."""
         return (
             not self.is_closed
             and not self.is_cancelled
@@ -95,7 +95,7 @@
         )
 
     def send(self, data: bytes) -> None:
-        """Queue whole messages for sending.
+        """Queue whole messages for sending and count their replies.
 
         Args:
             data: One or more whole frontend messages.
@@ -104,24 +104,24 @@
             UpstreamLostError: If the connection has ended.
             ValueError: If the data does not end with a whole message.
         """
-        due, is_unsynced = count_expected_replies(data, self.is_unsynced)
+        expected, is_unsynced = count_expected_replies(data, self.is_unsynced)
         self.frames.write(data)
-        self.pending_replies += due
+        self.pending_replies += expected
         self.is_unsynced = is_unsynced
 
     async def drain(self) -> None:
-        """Wait until the queue of bytes to send is short."""
+        """Wait until the send buffer is below its limit."""
         await self.frames.drain()
 
     def pop_message(self) -> Message | None:
-        """Take a message that has already arrived, or return None.
+        """Return the next message that has already arrived, or None.
 
         Raises:
-            UpstreamLostError: If the upstream breaks the protocol.
+            UpstreamLostError: If the upstream violates the protocol.
         """
-        message = self.frames.take_frame()
-        while message is not None and self.note_message(message):
-            message = self.frames.take_frame()
+        message = self.frames.pop_frame()
+        while message is not None and self.process_message(message):
+            message = self.frames.pop_frame()
         return message
 
     async def read_message(self) -> Message:
@@ -131,37 +131,39 @@
             The message as it arrived.
 
         Raises:
-            UpstreamLostError: If the connection ended or broke the protocol.
+            UpstreamLostError: If the connection ended or the upstream violated the
+                protocol.
         """
         message = await self.frames.read_frame()
-        while self.note_message(message):
+        while self.process_message(message):
             message = await self.frames.read_frame()
         return message
 
-    def note_message(self, message: Message) -> bool:
-        """Keep what a message says about the session.
+    def process_message(self, message: Message) -> bool:
+        """Update the session state from a message.
 
         Args:
             message: Any message of the upstream.
 
         Returns:
-            Whether it is for the proxy alone: the report of the upstream's role.
+            Whether the message must not be forwarded, as it reports the upstream's
+            role to the proxy.
 
         Raises:
-            UpstreamLostError: If it is a ReadyForQuery that is not valid.
+            UpstreamLostError: If it is an invalid ReadyForQuery.
         """
         if message.kind == b"Z":
-            self.note_ready(message)
-        return message.kind == b"S" and self.note_role(message)
+            self.record_ready(message)
+        return message.kind == b"S" and self.record_role(message)
 
-    def note_role(self, message: Message) -> bool:
-        """Keep whether the upstream is a replica, if a ParameterStatus says so.
+    def record_role(self, message: Message) -> bool:
+        """Update `is_standby` if a ParameterStatus reports the upstream's role.
 
         Args:
             message: The ParameterStatus.
 
         Returns:
-            Whether it says so.
+            Whether it reports the role.
         """
         name, _, value = message.raw[HEADER_BYTES:].partition(b"\0")
         if name != STANDBY_PARAMETER:
@@ -169,82 +171,82 @@
         self.is_standby = value == b"on\0"
         return True
 
-    def note_ready(self, message: Message) -> None:
-        """Keep the transaction status of a ReadyForQuery.
+    def record_ready(self, message: Message) -> None:
+        """Record the transaction status of a ReadyForQuery.
 
         Args:
             message: The ReadyForQuery.
 
         Raises:
-            UpstreamLostError: If none was due or its status is unknown.
+            UpstreamLostError: If none was expected or its status is unknown.
         """
         status = chr(message.raw[-1])
         if self.pending_replies == 0 or status not in TRANSACTION_STATUSES:
-            self.frames.close("the upstream sent a ReadyForQuery that was not due")
+            self.frames.close("the upstream sent an unexpected ReadyForQuery")
             raise UpstreamLostError(self.frames.lost_reason or "")
         self.pending_replies -= 1
         self.transaction_status = status
 
     async def query(self, sql: str, timeout_s: float) -> QueryResult:
-        """Run a simple query and read its whole answer.
+        """Run a simple query and read its whole result.
 
-        A query that is given up on closes the connection, since its answer would
-        otherwise reach the next reader.
+        An abandoned query closes the connection, since its result would otherwise
+        reach the next reader.
 
         Args:
             sql: Statement.
-            timeout_s: Seconds to wait for the whole answer.
+            timeout_s: Seconds to wait for the whole result.
 
         Returns:
-            The answer; an error answer is returned, not raised.
+            The result; an error from the upstream is returned, not raised.
 
         Raises:
-            UpstreamLostError: If the connection ended or the time is over.
+            UpstreamLostError: If the connection ended or the query timed out.
         """
-        # Closing the connection ends the wait, which costs less than a timeout.
+        # A timer that closes the connection is cheaper than asyncio.timeout.
         loop = asyncio.get_running_loop()
-        timer = loop.call_later(timeout_s, self.end_late_query, timeout_s)
+        timer = loop.call_later(timeout_s, self.close_timed_out, timeout_s)
         try:
-            self.check_no_answer_due()
+            self.check_no_reply_pending()
             self.send(Query(query_string=sql).to_wire())
             return await self.read_answer()
         except PygwireError as error:
-            self.frames.close(f"the answer can't be decoded: {error}")
+            self.frames.close(f"cannot decode the result: {error}")
             raise UpstreamLostError(self.frames.lost_reason or "") from error
         except BaseException:
-            self.frames.close("given up in the middle of an answer")
+            self.frames.close("query abandoned before its result was complete")
             raise
         finally:
             timer.cancel()
 
-    def end_late_query(self, timeout_s: float) -> None:
-        """Close the connection since an answer takes too long.
+    def close_timed_out(self, timeout_s: float) -> None:
+        """Close the connection of a query that timed out.
 
         Args:
-            timeout_s: Seconds that it had.
+            timeout_s: Seconds after which it timed out.
         """
-        self.frames.close(f"no answer from {self.address} within {timeout_s:.3f} s")
+        self.frames.close(f"no reply from {self.address} within {timeout_s:.3f} s")
 
-    def check_no_answer_due(self) -> None:
-        """Raise UpstreamLostError while the answer to an earlier request is due."""
+    def check_no_reply_pending(self) -> None:
+        """Raise UpstreamLostError while the reply to an earlier request is pending."""
         if self.pending_replies or self.is_unsynced:
-            raise UpstreamLostError("an earlier answer is still due")
+            raise UpstreamLostError("the reply to an earlier request is still pending")
 
     async def read_answer(self) -> QueryResult:
         """Read messages up to ReadyForQuery and decode them."""
         return await read_query_result(self.read_message)
 
     async def cancel(self, timeout_s: float) -> None:
-        """Ask the upstream to cancel what this session runs.
+        """Send a cancel request for the statement that this session runs.
 
-        The connection is not reused afterwards: the request may strike after the
-        statement that it was meant for has ended.
+        The connection is not reused afterwards: the request may take effect after
+        the intended statement has ended.
 
         Args:
-            timeout_s: Seconds to wait for the upstream to take the request.
+            timeout_s: Seconds to wait for the upstream to accept the request.
 
         Raises:
-            UpstreamLostError: If the upstream can't be reached in time.
+            UpstreamLostError: If the upstream does not respond in time.
         """
         self.is_cancelled = True
         request = CancelRequest(process_id=self.process_id, secret_key=self.secret_key)
@@ -253,15 +255,15 @@
                 frames = await connect(self.address)
                 try:
                     frames.write(request.to_wire())
-                    # The upstream closes the connection when it has acted.
+                    # The upstream closes the connection after it handled the request.
                     while frames.lost_reason is None:
                         await frames.wait_for_bytes()
                         frames.buffer.clear()
                 finally:
                     frames.close("cancel request sent")
         except TimeoutError:
-            raise UpstreamLostError(f"no answer from {self.address}") from None
+            raise UpstreamLostError(f"no reply from {self.address}") from None
 
     def close(self) -> None:
-        """Close the connection at once."""
+        """Close the connection immediately."""
         self.frames.close("closed by the proxy")
--- a/ebonyrack/upstreams/connection_test.py
+++ b/ebonyrack/upstreams/connection_test.py
@@ -10,8 +10,8 @@
 
 from ebonyrack.core.address import Address
 from ebonyrack.standins.group import StandinGroup
-from ebonyrack.upstreams.conftest import build_answer
 from ebonyrack.upstreams.conftest import build_error
+from ebonyrack.upstreams.conftest import build_response
 from ebonyrack.upstreams.connection import UpstreamLostError
 from ebonyrack.upstreams.expected_replies import count_expected_replies
 from ebonyrack.upstreams.opening import open_connection
@@ -26,26 +26,26 @@
     )
 
 
-async def test_query_returns_the_whole_answer(upstream):
+async def test_query_returns_the_whole_result(upstream):
     connection = await connect(upstream)
-    answer = await connection.query("SELECT 7", TIMEOUT_S)
-    assert (answer.columns, answer.rows) == (("value",), (("SELECT 7",),))
-    assert answer.tag == "SELECT 1"
+    result = await connection.query("SELECT 7", TIMEOUT_S)
+    assert (result.columns, result.rows) == (("value",), (("SELECT 7",),))
+    assert result.tag == "SELECT 1"
     assert connection.is_clean
     connection.close()
 
 
-async def test_error_answers_are_returned(upstream):
-    upstream.answers["bad"] = build_error("42601") + build_answer("", b"E")[-6:]
+async def test_error_response_is_returned(upstream):
+    upstream.responses["bad"] = build_error("42601") + build_response("", b"E")[-6:]
     connection = await connect(upstream)
-    answer = await connection.query("bad", TIMEOUT_S)
-    assert answer.error["C"] == "42601"
+    result = await connection.query("bad", TIMEOUT_S)
+    assert result.error["C"] == "42601"
     assert connection.transaction_status == "E"
     assert not connection.is_clean
     connection.close()
 
 
-async def test_scram_with_the_right_password(upstream):
+async def test_scram_succeeds_with_the_right_password(upstream):
     upstream.password = "kite"
     connection = await connect(upstream, "kite")
     assert connection.is_clean
@@ -55,44 +55,44 @@
 @pytest.mark.parametrize(
     "password, reason", [("wrong", "28P01"), ("", "cannot authenticate")]
 )
-async def test_scram_with_another_password_is_lost(upstream, password, reason):
+async def test_scram_fails_with_another_password(upstream, password, reason):
     upstream.password = "kite"
     with pytest.raises(UpstreamLostError, match=reason):
         await connect(upstream, password)
 
 
-async def test_upstream_that_cannot_prove_the_password_is_lost(upstream):
+async def test_scram_fails_if_the_upstream_cannot_prove_the_password(upstream):
     upstream.password = "kite"
-    upstream.proves_itself = False
+    upstream.signs_correctly = False
     with pytest.raises(UpstreamLostError, match="SCRAM failed"):
         await connect(upstream, "kite")
 
 
 @pytest.mark.parametrize("code", [3, 5])
-async def test_clear_text_and_md5_are_refused(code):
-    async def ask(reader, writer):
+async def test_clear_text_and_md5_are_rejected(code):
+    async def request_authentication(reader, writer):
         writer.write(b"R" + struct.pack("!II4s", 12, code, b"salt"))
         await reader.read()
         writer.close()
 
-    server = await asyncio.start_server(ask, "127.0.0.1", 0)
+    server = await asyncio.start_server(request_authentication, "127.0.0.1", 0)
     address = Address(*server.sockets[0].getsockname()[:2])
     async with server:
         with pytest.raises(UpstreamLostError, match="not supported"):
             await open_connection(address, "ebonyrack", "kite", "booking", TIMEOUT_S)
 
 
-async def test_refused_session_carries_the_sqlstate(upstream):
+async def test_rejected_session_carries_the_sqlstate(upstream):
     upstream.limit = 0
     with pytest.raises(UpstreamLostError) as caught:
         await connect(upstream)
     assert caught.value.sqlstate == "53300"
 
 
-async def test_late_answer_reaches_nobody(upstream):
+async def test_timed_out_query_closes_the_connection(upstream):
     upstream.silent.add("slow")
     connection = await connect(upstream)
-    with pytest.raises(UpstreamLostError, match="no answer.*within 0.010 s"):
+    with pytest.raises(UpstreamLostError, match="no reply.*within 0.010 s"):
         await connection.query("slow", 0.01)
     assert connection.is_closed
     with pytest.raises(UpstreamLostError):
@@ -111,7 +111,7 @@
     assert connection.is_closed
 
 
-async def test_connection_with_an_answer_due_is_not_clean(upstream):
+async def test_connection_with_a_pending_reply_is_not_clean(upstream):
     connection = await connect(upstream)
     connection.send(Query(query_string="a").to_wire())
     assert not connection.is_clean
@@ -120,18 +120,18 @@
     assert connection.is_closed
 
 
-async def test_answer_that_was_not_asked_for_is_not_clean(upstream):
-    upstream.answers["a"] = build_answer("1") + build_answer("2")
+async def test_unexpected_ready_for_query_loses_the_connection(upstream):
+    upstream.responses["a"] = build_response("1") + build_response("2")
     connection = await connect(upstream)
     await connection.query("a", TIMEOUT_S)
-    with pytest.raises(UpstreamLostError, match="not due"):
+    with pytest.raises(UpstreamLostError, match="unexpected ReadyForQuery"):
         while True:
             await connection.read_message()
     assert not connection.is_clean
 
 
-async def test_answer_cut_in_the_middle_is_lost(upstream):
-    upstream.answers["a"] = build_answer("1")[:-3]
+async def test_connection_lost_within_a_response_raises(upstream):
+    upstream.responses["a"] = build_response("1")[:-3]
     connection = await connect(upstream)
     connection.send(Query(query_string="a").to_wire())
     kinds = [(await connection.read_message()).kind for _ in range(3)]
@@ -142,25 +142,25 @@
 
 
 @pytest.mark.parametrize("length", [0, 3, MAXIMUM_FRAME_BYTES + 1])
-async def test_frame_of_impossible_length_is_lost(upstream, length):
-    upstream.answers["a"] = struct.pack("!cI", b"D", length)
+async def test_frame_of_invalid_length_closes_the_connection(upstream, length):
+    upstream.responses["a"] = struct.pack("!cI", b"D", length)
     connection = await connect(upstream)
     with pytest.raises(UpstreamLostError, match="frame"):
         await connection.query("a", TIMEOUT_S)
     assert connection.is_closed
 
 
-async def test_frame_larger_than_the_buffer_arrives_whole(upstream):
+async def test_frame_larger_than_the_buffer_is_read_whole(upstream):
     text = "x" * 1_000_000
-    upstream.answers["a"] = build_answer(text)
+    upstream.responses["a"] = build_response(text)
     connection = await connect(upstream)
-    answer = await connection.query("a", TIMEOUT_S)
-    assert answer.rows == ((text,),)
+    result = await connection.query("a", TIMEOUT_S)
+    assert result.rows == ((text,),)
     connection.close()
 
 
-async def test_reading_stops_while_nobody_takes_the_answer(upstream):
-    upstream.answers["a"] = build_answer("x" * 1000)[:-6] * 20000
+async def test_reading_pauses_while_messages_are_not_consumed(upstream):
+    upstream.responses["a"] = build_response("x" * 1000)[:-6] * 20000
     connection = await connect(upstream)
     connection.send(Query(query_string="a").to_wire())
     await connection.read_message()
@@ -178,14 +178,14 @@
     connection.close()
 
 
-async def test_refused_connection_is_lost(upstream):
+async def test_refused_connection_raises(upstream):
     address = upstream.address
     await upstream.stop()
     with pytest.raises(UpstreamLostError):
         await open_connection(address, "ebonyrack", "", "booking", TIMEOUT_S)
 
 
-def test_answers_due_are_counted_by_query_and_sync():
+def test_expected_replies_are_counted_by_query_and_sync():
     extended = Parse(query="SELECT 1").to_wire() + Bind().to_wire()
     extended += Execute().to_wire()
     assert count_expected_replies(extended, False) == (0, True)
@@ -199,7 +199,7 @@
             count_expected_replies(Query(query_string="a").to_wire()[:cut], False)
 
 
-async def test_promotion_is_known_when_the_next_answer_ends():
+async def test_promotion_is_reported_before_the_next_ready_for_query():
     async with StandinGroup() as group:
         connection = await connect(group["up-2"])
         assert connection.is_standby is True
--- a/ebonyrack/upstreams/contract.py
+++ b/ebonyrack/upstreams/contract.py
@@ -1,4 +1,4 @@
-"""The SQL functions that a database group must offer."""
+"""The SQL functions that a database group must provide."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FenceResult:
-    """Answer to the request for a grant of a term.
+    """Result of a request for a grant of a term.
 
     Attributes:
         granted: Whether the term was granted.
@@ -29,11 +29,11 @@
 
 @dataclass(frozen=True, slots=True)
 class HoldsResult:
-    """Answer to the question whether a log has an entry.
+    """Result of a query whether a log has an entry.
 
     Attributes:
         held: Whether the entry of that term is at that offset.
-        term: Present term of the upstream.
+        term: Current term of the upstream.
         received: Position of the last entry of its log.
     """
 
@@ -49,29 +49,29 @@
 class EbonyrackContract:
     """The project's own contract, which the stand-in group implements.
 
-    Each method builds one statement; `parse_status` and `parse_grant` read the
-    single row that the upstream answers.
+    The `build_...` methods each build one statement; the `parse_...` methods parse
+    the single row that the upstream returns for it.
 
     * `ebonyrack_poll(term, offset, wait_ms)`: a row `(role, term, fenced_term,
-      received, applied, leaving, silence_ms)`. With `wait_ms` above 0 the answer
-      waits until the upstream's *applied* position reaches `term/offset`, or the
-      time is over. `silence_ms` is the time since a replica last heard from the
-      primary that it follows (entries or heartbeats), empty on a primary; an
-      upstream that can't tell leaves the column out.
+      received, applied, leaving, silence_ms)`. With `wait_ms` above 0 the call
+      returns when the upstream's *applied* position reaches `term/offset`, or after
+      `wait_ms`. `silence_ms` is the time since a replica last received anything
+      (entries or heartbeats) from the primary that it follows, empty on a primary;
+      an upstream that does not measure it omits the column.
     * `ebonyrack_poll_received(...)`: the same, waiting for the *received* position.
     * `ebonyrack_fence(term)`: a row `(granted, fenced_term, received)`. Granted
       when `term` is higher than any granted before; from then on the upstream
-      refuses writes and replication of lower terms, for ever. Each term is
+      permanently rejects writes and replication of lower terms. Each term is
       granted at most once; open transactions of a fenced primary are rolled back.
     * `ebonyrack_promote(term)`: makes the upstream primary in a term that it has
       granted and writes the term-start record. A row `(received)`.
     * `ebonyrack_follow(term, host, port)`: makes it a replica of that primary,
-      unless it granted a higher term. Entries that the primary lacks are dropped.
+      unless it granted a higher term. Entries that the primary lacks are discarded.
     * `ebonyrack_last_commit()`: a row with the position of the last transaction
       that *this connection* committed, or an empty string.
     * `ebonyrack_holds(term, offset)`: a row `(held, term, received)`: whether the
       upstream's log has an entry of exactly that term at that offset, with the
-      upstream's present term and last position, read at one moment.
+      upstream's current term and last position, all read atomically.
     """
 
     __slots__ = ()
@@ -88,30 +88,30 @@
         return f"SELECT * FROM ebonyrack_fence({term})"
 
     def build_promote(self, term: int) -> str:
-        """Build the order to become primary."""
+        """Build the command to become primary."""
         return f"SELECT * FROM ebonyrack_promote({term})"
 
     def build_follow(self, term: int, primary: Address) -> str:
-        """Build the order to follow a primary."""
+        """Build the command to follow a primary."""
         return (
             f"SELECT * FROM ebonyrack_follow({term}, '{primary.host}', {primary.port})"
         )
 
     def build_last_commit(self) -> str:
-        """Build the question for the connection's last committed position."""
+        """Build the query for the connection's last committed position."""
         return "SELECT ebonyrack_last_commit()"
 
     def build_holds(self, position: LogPosition) -> str:
-        """Build the question whether the log has the entry of a position."""
+        """Build the query whether the log has the entry of a position."""
         return f"SELECT * FROM ebonyrack_holds({position.term}, {position.offset})"
 
     def parse_status(self, row: tuple[str | None, ...]) -> UpstreamStatus:
-        """Read the row of a poll.
+        """Parse the row of a poll.
 
         Raises:
-            ValueError: If the row has another form.
+            ValueError: If the row is malformed.
         """
-        role, term, fenced_term, received, applied, leaving, *rest = read_fields(row)
+        role, term, fenced_term, received, applied, leaving, *rest = replace_nulls(row)
         return UpstreamStatus(
             role=Role(role),
             term=int(term),
@@ -123,35 +123,35 @@
         )
 
     def parse_grant(self, row: tuple[str | None, ...]) -> FenceResult:
-        """Read the row of a fence.
+        """Parse the row of a fence.
 
         Raises:
-            ValueError: If the row has another form.
+            ValueError: If the row is malformed.
         """
-        granted, fenced_term, received = read_fields(row)
+        granted, fenced_term, received = replace_nulls(row)
         return FenceResult(granted == "t", int(fenced_term), parse_position(received))
 
     def parse_promotion(self, row: tuple[str | None, ...]) -> LogPosition:
-        """Read the row of a promotion: the position of the term-start record.
+        """Parse the row of a promotion: the position of the term-start record.
 
         Raises:
-            ValueError: If the row has another form.
+            ValueError: If the row is malformed.
         """
-        (received,) = read_fields(row)
+        (received,) = replace_nulls(row)
         return parse_position(received)
 
     def parse_holds(self, row: tuple[str | None, ...]) -> HoldsResult:
-        """Read the row that says whether the log has an entry.
+        """Parse the row of a query whether the log has an entry.
 
         Raises:
-            ValueError: If the row has another form.
+            ValueError: If the row is malformed.
         """
-        held, term, received = read_fields(row)
+        held, term, received = replace_nulls(row)
         return HoldsResult(held == "t", int(term), parse_position(received))
 
 
-def read_fields(row: tuple[str | None, ...]) -> tuple[str, ...]:
-    """Replace NULL by an empty field.
+def replace_nulls(row: tuple[str | None, ...]) -> tuple[str, ...]:
+    """Replace NULL by an empty string.
 
     Args:
         row: Fields of one row in text form.
--- a/ebonyrack/upstreams/contract_test.py
+++ b/ebonyrack/upstreams/contract_test.py
@@ -7,7 +7,7 @@
 CONTRACT = EbonyrackContract()
 
 
-def test_status_with_and_without_silence():
+def test_status_is_parsed_with_and_without_silence():
     row = ("replica", "3", "4", "3/7", "3/6", "f")
     status = CONTRACT.parse_status(row)
     assert status.role is Role.REPLICA
@@ -18,7 +18,7 @@
     assert CONTRACT.parse_status((*row, None)).silence_s is None
 
 
-def test_grant_and_holds_are_records():
+def test_grant_and_holds_rows_are_parsed():
     assert CONTRACT.parse_grant(("f", "9", "3/7")).fenced_term == 9
     assert CONTRACT.parse_holds(("t", "5", "5/8")).held
 
@@ -26,6 +26,6 @@
 @pytest.mark.parametrize(
     "row", [(), ("replica",), ("other", "1", "1", "1/1", "1/1", "f")]
 )
-def test_rows_of_another_form_are_refused(row):
+def test_malformed_rows_are_rejected(row):
     with pytest.raises(ValueError):
         CONTRACT.parse_status(row)
--- a/ebonyrack/upstreams/control.py
+++ b/ebonyrack/upstreams/control.py
@@ -1,4 +1,4 @@
-"""One warm connection for control queries to an upstream."""
+"""A persistent connection for control queries to an upstream."""
 
 from __future__ import annotations
 
@@ -17,13 +17,13 @@
 
 
 class ControlConnection:
-    """A connection that serves control queries one after another.
+    """A connection that runs control queries one at a time.
 
-    It is opened by the first query and again after it was lost.
+    It is opened by the first query and reopened by the next one after a loss.
 
     Attributes:
         address: Address of the upstream.
-        section: Section of the group, for user, password and database.
+        section: Settings of the group: user, password and database.
         connection: The open connection, or None.
         lock: Held by the query in flight.
     """
@@ -37,17 +37,18 @@
         self.lock = asyncio.Lock()
 
     async def query(self, sql: str, timeout_s: float) -> QueryResult:
-        """Run one query after those that came before it.
+        """Run one query after the earlier ones have finished.
 
         Args:
             sql: Statement that returns one row.
-            timeout_s: Seconds for waiting, connecting and the answer together.
+            timeout_s: Seconds for waiting, connecting and the result together.
 
         Returns:
-            The answer, which has a row.
+            The result, which has at least one row.
 
         Raises:
-            UpstreamLostError: If no answer came in time, or an error answer.
+            UpstreamLostError: If no result arrived in time, or the upstream reported
+                an error.
         """
         deadline_s = now_s() + timeout_s
         try:
@@ -67,13 +68,14 @@
 
         Args:
             sql: Statement that returns one row.
-            deadline_s: Monotonic time at which it is given up.
+            deadline_s: Monotonic time at which the query times out.
 
         Returns:
-            The answer.
+            The result, which has at least one row.
 
         Raises:
-            UpstreamLostError: If no answer came in time, or an error answer.
+            UpstreamLostError: If no result arrived in time, or the upstream reported
+                an error.
         """
         if self.connection is None or not self.connection.is_clean:
             self.close()
@@ -84,15 +86,15 @@
                 self.section.database,
                 deadline_s - now_s(),
             )
-        answer = await self.connection.query(sql, deadline_s - now_s())
-        if answer.error is not None:
-            text = answer.error.get("M", "")
+        result = await self.connection.query(sql, deadline_s - now_s())
+        if result.error is not None:
+            text = result.error.get("M", "")
             raise UpstreamLostError(
-                f"{self.address} answered: {text}", answer.error.get("C", "")
+                f"{self.address} reported an error: {text}", result.error.get("C", "")
             )
-        if not answer.rows:
-            raise UpstreamLostError(f"{self.address} answered without a row")
-        return answer
+        if not result.rows:
+            raise UpstreamLostError(f"{self.address} returned no row")
+        return result
 
     def close(self) -> None:
         """Close the connection if it is open."""
--- a/ebonyrack/upstreams/group.py
+++ b/ebonyrack/upstreams/group.py
@@ -1,4 +1,4 @@
-"""A database group: its upstreams, its term and primary, confirmation of writes."""
+"""A database group: its upstreams, term and primary, and confirmation of writes."""
 
 from __future__ import annotations
 
@@ -28,18 +28,19 @@
     from ebonyrack.config.sections import GroupSection
     from ebonyrack.config.sections import UpstreamSpec
 
-# The group counts as carrying requests for this long after the last one.
-REQUEST_MEMORY_S = 2.0
-# Bounds on the time to come back that a refusal for want of a primary names.
-SHORTEST_RETRY_S = 0.3
-LONGEST_RETRY_S = 0.9
-# A primary that is leaving serves on for this long, to be replaced without a gap.
+# The group counts as having recent requests for this long after the last one.
+REQUEST_RECENT_S = 2.0
+# Range of the random retry-after sent while there is no primary.
+MINIMUM_RETRY_AFTER_S = 0.3
+MAXIMUM_RETRY_AFTER_S = 0.9
+# A leaving primary keeps serving writes for this long, so that it can be replaced
+# without an outage.
 LEAVING_PRIMARY_GRACE_S = 2.0
-DRAIN_CHECK_S = 0.005
+DRAIN_CHECK_INTERVAL_S = 0.005
 
 
 class DatabaseGroup(Component):
-    """The upstreams of one group and what this proxy knows of their primary.
+    """The upstreams of one group and this proxy's view of their primary.
 
     Attributes:
         name: Name of the group.
@@ -48,16 +49,18 @@
         upstreams: Upstreams by name.
         term: Highest term in which a primary was seen.
         primary_name: Name of that primary, or None.
-        primary_learned_at_s: Monotonic time at which it was learned.
-        acknowledged_term: Highest term in which a write was acknowledged here.
-        coordinator_rank: Place of this proxy among the group's coordinators, 0 for the
-            first; None if it may not order a promotion.
-        confirmations: Writes of the present term that wait for a majority.
-        primary_history: Positions of the primary, for the lag of replicas.
-        changed: Notified when the primary, a term or reachability changes.
+        primary_learned_at_s: Monotonic time at which it was first seen.
+        acknowledged_term: Highest term in which this proxy acknowledged a write.
+        coordinator_rank: Rank of this proxy among the group's coordinators, 0 for the
+            first; None if it may not start a promotion.
+        confirmations: Writes of the current term that wait for a majority.
+        primary_history: Past positions of the primary, from which the replication lag
+            is computed.
+        changed: Notified when the primary, the term or the reachability of an upstream
+            changes.
         writes_held_until_s: Monotonic time until which new writes wait for a
             switchover.
-        primary_wait: Requests that wait until there is a primary.
+        primary_wait: Queue of the requests that wait for a primary.
     """
 
     def __init__(self, name: str, section: GroupSection, connection_limit: int) -> None:
@@ -74,7 +77,7 @@
         self.changed = Notifier()
         self.writes_held_until_s = 0.0
         self.primary_wait = PrimaryWait(self.changed)
-        self.requested_at_s = 0.0
+        self.last_request_at_s = 0.0
         self.leaving_since_s: dict[str, float] = {}
         self.monitors: dict[str, UpstreamMonitor] = {}
         self.removals: set[asyncio.Task[None]] = set()
@@ -84,12 +87,12 @@
         self.apply_leaving()
 
     async def start(self) -> None:
-        """Start to watch the upstreams."""
-        for watch in self.monitors.values():
-            watch.start()
+        """Start to monitor the upstreams."""
+        for monitor in self.monitors.values():
+            monitor.start()
 
     async def stop(self) -> None:
-        """Remove all upstreams."""
+        """Remove all upstreams and end the pending confirmations."""
         for name in tuple(self.upstreams):
             self.remove_upstream(name)
         await asyncio.gather(*self.removals)
@@ -97,33 +100,33 @@
 
     @property
     def is_coordinator(self) -> bool:
-        """Whether this proxy may order a promotion."""
+        """Whether this proxy may start a promotion."""
         return self.coordinator_rank is not None
 
     @property
     def majority(self) -> int:
-        """Upstreams in a majority, the primary included."""
+        """Number of upstreams in a majority, including the primary."""
         return len(self.section.upstreams) // 2 + 1
 
     @property
-    def is_carrying_requests(self) -> bool:
-        """Whether a request came within the last seconds."""
-        return now_s() - self.requested_at_s < REQUEST_MEMORY_S
+    def has_recent_requests(self) -> bool:
+        """Whether a request arrived within the last `REQUEST_RECENT_S`."""
+        return now_s() - self.last_request_at_s < REQUEST_RECENT_S
 
     def add_upstream(self, spec: UpstreamSpec) -> None:
-        """Add an upstream without starting its watch.
+        """Add an upstream without starting its monitor.
 
         Args:
             spec: The upstream.
         """
         upstream = Upstream(spec, self.section, self.connection_limit)
-        upstream.on_status = self.observe
-        upstream.on_change = self.note_change
+        upstream.on_status = self.handle_status
+        upstream.on_change = self.handle_state_change
         self.upstreams[spec.name] = upstream
         self.monitors[spec.name] = UpstreamMonitor(self, upstream)
 
     def remove_upstream(self, name: str) -> None:
-        """Take an upstream out; its tasks and connections end soon after.
+        """Remove an upstream; its tasks and connections end in the background.
 
         Args:
             name: Name of the upstream.
@@ -135,10 +138,10 @@
         removal.add_done_callback(self.removals.discard)
 
     def reconfigure(self, section: GroupSection) -> None:
-        """Take over a changed section.
+        """Apply a changed section.
 
         Args:
-            section: The new section; its upstreams replace those of the old one.
+            section: The new section; upstreams are added and removed to match it.
         """
         for name in set(self.section.leaving) - set(section.leaving):
             self.mark_leaving(name, False)
@@ -153,12 +156,12 @@
                 self.monitors[spec.name].start()
         for upstream in self.upstreams.values():
             upstream.apply_section(section)
-        self.confirmations.needed = self.majority - 1
+        self.confirmations.required_replicas = self.majority - 1
         self.apply_leaving()
         self.changed.notify()
 
     def apply_leaving(self) -> None:
-        """Mark the upstreams that the document names as leaving."""
+        """Mark the upstreams that the document lists as leaving."""
         for name in self.section.leaving:
             self.mark_leaving(name, True)
 
@@ -166,7 +169,7 @@
         """Set this proxy's share of each upstream's connections.
 
         Args:
-            per_upstream: Connections, those for control included.
+            per_upstream: Number of connections, including control connections.
         """
         self.connection_limit = per_upstream
         for upstream in self.upstreams.values():
@@ -182,10 +185,10 @@
         upstream = self.upstreams.get(upstream_name)
         if upstream is not None:
             upstream.set_leaving(leaving)
-            self.update_work(upstream)
+            self.update_pool_admission(upstream)
 
     def primary(self) -> Upstream | None:
-        """Return the primary if it can take writes now, or None."""
+        """Return the primary if it accepts writes now, or None."""
         upstream = self.upstreams.get(self.primary_name or "")
         if upstream is None or not upstream.is_reachable:
             return None
@@ -198,7 +201,7 @@
         return upstream
 
     def replicas(self) -> list[Upstream]:
-        """Return the replicas that may serve reads of the present term."""
+        """Return the replicas that may serve reads of the current term."""
         return [
             upstream
             for upstream in self.upstreams.values()
@@ -208,38 +211,37 @@
         ]
 
     async def wait_for_primary(self, deadline_s: float, caller: str = "") -> Upstream:
-        """Wait until there is a primary that takes writes.
+        """Wait until there is a primary that accepts writes.
 
         Args:
-            deadline_s: Monotonic time at which to give up.
-            caller: Name of the application that asks.
+            deadline_s: Monotonic time at which the wait times out.
+            caller: Application name of the caller.
 
         Returns:
             The primary.
 
         Raises:
-            RequestError: NO_PRIMARY, QUEUE_FULL or WAIT_TOO_LONG with the time to
-                come back.
+            RequestError: NO_PRIMARY, QUEUE_FULL or WAIT_TOO_LONG, with a retry-after.
         """
         self.record_request()
         waiter = self.primary_wait.build_waiter(caller, deadline_s)
         while True:
-            held_s = self.writes_held_until_s - now_s()
+            hold_s = self.writes_held_until_s - now_s()
             primary = self.primary()
-            if primary is not None and held_s <= 0:
+            if primary is not None and hold_s <= 0:
                 return primary
             remaining_s = deadline_s - now_s()
             if remaining_s <= 0:
                 raise self.build_no_primary_error()
-            wait_s = min(remaining_s, held_s) if held_s > 0 else remaining_s
+            wait_s = min(remaining_s, hold_s) if hold_s > 0 else remaining_s
             last_primary = self.upstreams.get(self.primary_name or "")
             await self.primary_wait.wait(waiter, wait_s, self.section, last_primary)
 
     def hold_writes(self, hold_s: float) -> None:
-        """Let new writes wait for a switchover.
+        """Make new writes wait for a switchover.
 
         Args:
-            hold_s: Seconds for which they wait at most.
+            hold_s: Longest time that they wait, in seconds.
         """
         self.writes_held_until_s = now_s() + hold_s
 
@@ -247,58 +249,58 @@
         """Wait until no request of this proxy uses the primary.
 
         Args:
-            limit_s: Seconds to wait at most.
+            limit_s: Longest time to wait, in seconds.
 
         Returns:
-            Whether all ended in time.
+            Whether all of them ended in time.
         """
         primary = self.upstreams.get(self.primary_name or "")
         if primary is None:
             return True
         deadline_s = now_s() + limit_s
         while primary.pool.busy_count and now_s() < deadline_s:
-            await asyncio.sleep(DRAIN_CHECK_S)
+            await asyncio.sleep(DRAIN_CHECK_INTERVAL_S)
         return primary.pool.busy_count == 0
 
     def release_writes(self) -> None:
-        """Let writes go on."""
+        """Let held writes proceed."""
         self.writes_held_until_s = 0.0
         self.changed.notify()
 
     def build_no_primary_error(self) -> RequestError:
-        """Build the refusal of a write for want of a primary."""
-        retry_after_s = random.uniform(SHORTEST_RETRY_S, LONGEST_RETRY_S)
+        """Build the error for a write that found no primary."""
+        retry_after_s = random.uniform(MINIMUM_RETRY_AFTER_S, MAXIMUM_RETRY_AFTER_S)
         reason = f"group {self.name}, last term {self.term}"
         return RequestError(ErrorKind.NO_PRIMARY, reason, retry_after_s)
 
     def record_request(self) -> None:
-        """Poll at a shorter interval while the group carries requests."""
-        was_idle = not self.is_carrying_requests
-        self.requested_at_s = now_s()
+        """Record a request, which shortens the poll interval for a while."""
+        was_idle = not self.has_recent_requests
+        self.last_request_at_s = now_s()
         if was_idle and not self.is_coordinator:
             self.wake_monitors()
 
     def wake_monitors(self) -> None:
-        """Poll every upstream at once."""
-        for watch in self.monitors.values():
-            watch.wake.set()
+        """Poll every upstream immediately."""
+        for monitor in self.monitors.values():
+            monitor.wake.set()
 
     def report_connection_lost(self, upstream_name: str, reason: str) -> None:
-        """Note that the data path saw a broken connection; polls at once.
+        """Log a lost connection to an upstream and poll the upstream immediately.
 
         Args:
             upstream_name: Name of the upstream.
-            reason: What was seen.
+            reason: Why the connection was lost.
         """
-        watch = self.monitors.get(upstream_name)
-        if watch is not None:
+        monitor = self.monitors.get(upstream_name)
+        if monitor is not None:
             logger.bind(group=self.name, upstream=upstream_name, reason=reason).info(
                 "connection_lost"
             )
-            watch.wake.set()
+            monitor.wake.set()
 
     def record_primary(self, term: int, primary_name: str) -> None:
-        """Take over news of a primary if its term is higher.
+        """Record a primary if its term is higher than the current one.
 
         Args:
             term: Its term.
@@ -312,16 +314,16 @@
         self.primary_learned_at_s = now_s()
         self.writes_held_until_s = 0.0
         self.primary_history.clear()
-        waiting = self.confirmations
+        previous_confirmations = self.confirmations
         self.confirmations = ConfirmationTracker(term, primary_name, self.majority - 1)
-        waiting.end_term()
+        previous_confirmations.end_term()
         if previous is not None and not previous.is_reachable:
-            # Whoever still waits for the lost primary can't be answered by it.
-            close_busy(previous)
-        self.primary_wait.serve_by(self.upstreams.get(primary_name), previous)
+            # Requests still in flight to the unreachable primary will get no reply.
+            close_busy_connections(previous)
+        self.primary_wait.switch_primary(self.upstreams.get(primary_name), previous)
         for upstream in (previous, self.upstreams.get(primary_name)):
             if upstream is not None:
-                self.update_work(upstream)
+                self.update_pool_admission(upstream)
         metrics.primary_changes.add(1, {"group": self.name})
         logger.bind(group=self.name, term=term, upstream=primary_name).info(
             "primary_learned"
@@ -330,7 +332,7 @@
         self.changed.notify()
 
     def record_acknowledgement(self, term: int) -> None:
-        """Log how long the first acknowledgement of a term took on this proxy.
+        """Log how long this proxy took to the first acknowledgement of a term.
 
         Args:
             term: Term of an acknowledged write.
@@ -346,11 +348,11 @@
             reconnection_s=round(now_s() - (self.primary_learned_at_s or now_s()), 4),
         )
 
-    def observe(self, upstream: Upstream) -> None:
-        """Draw the conclusions from an upstream's answer.
+    def handle_status(self, upstream: Upstream) -> None:
+        """Update the group from an upstream's latest status.
 
         Args:
-            upstream: The upstream that answered.
+            upstream: The upstream that reported it.
         """
         status = upstream.status
         if status is None or self.upstreams.get(upstream.name) is not upstream:
@@ -361,39 +363,44 @@
             self.primary_history.add(status.received)
             for other in self.upstreams.values():
                 other.confirmed_log.observe_primary(
-                    status.received, upstream.asked_at_s
+                    status.received, upstream.poll_sent_at_s
                 )
-        if upstream.confirmed_log.observe(status.received, upstream.asked_at_s):
-            self.note_regression(upstream)
+        if upstream.confirmed_log.observe(status.received, upstream.poll_sent_at_s):
+            self.handle_log_regression(upstream)
         if not upstream.is_regressed:
             if self.confirmations.observe(upstream.name, status):
-                self.note_counted()
+                self.record_confirmed_positions()
         if upstream.update_summary():
-            self.update_work(upstream)
+            self.update_pool_admission(upstream)
             upstream.set_connection_limit(self.connection_limit)
             self.changed.notify()
 
-    def note_counted(self) -> None:
-        """Remember what the primary and each replica were counted with."""
+    def record_confirmed_positions(self) -> None:
+        """Record the confirmed position that the primary and each replica hold."""
         confirmations = self.confirmations
-        if not confirmations.confirmed:
+        if not confirmations.confirmed_offset:
             return
         primary_name = confirmations.primary_name or ""
-        held = {**confirmations.held, primary_name: confirmations.confirmed}
-        for name, offset in held.items():
+        offsets = {
+            **confirmations.held_offsets,
+            primary_name: confirmations.confirmed_offset,
+        }
+        for name, offset in offsets.items():
             upstream = self.upstreams.get(name)
             if upstream is not None:
-                counted = min(offset, confirmations.confirmed)
-                upstream.confirmed_log.count(LogPosition(confirmations.term, counted))
+                confirmed_offset = min(offset, confirmations.confirmed_offset)
+                upstream.confirmed_log.record_confirmed(
+                    LogPosition(confirmations.term, confirmed_offset)
+                )
 
-    def note_regression(self, upstream: Upstream) -> None:
-        """Log that an upstream lost its log or caught up, and count it accordingly.
+    def handle_log_regression(self, upstream: Upstream) -> None:
+        """Handle the loss of an upstream's log, or its catching up again.
 
         Args:
             upstream: The upstream.
         """
         if upstream.is_regressed:
-            self.confirmations.forget(upstream.name)
+            self.confirmations.discard_replica(upstream.name)
         log_decision(
             "upstream_regressed" if upstream.is_regressed else "upstream_caught_up",
             group=self.name,
@@ -404,8 +411,8 @@
         )
         self.changed.notify()
 
-    def note_change(self, upstream: Upstream) -> None:
-        """Log a change of an upstream's state and let its pool follow.
+    def handle_state_change(self, upstream: Upstream) -> None:
+        """Log a change of an upstream's state and update its pool.
 
         Args:
             upstream: The upstream.
@@ -413,11 +420,11 @@
         logger.bind(group=self.name, upstream=upstream.name, state=upstream.state).info(
             "upstream_state"
         )
-        self.update_work(upstream)
+        self.update_pool_admission(upstream)
         self.changed.notify()
 
-    def update_work(self, upstream: Upstream) -> None:
-        """Let an upstream's pool take or refuse new work.
+    def update_pool_admission(self, upstream: Upstream) -> None:
+        """Open or close an upstream's pool for new requests, according to its state.
 
         Args:
             upstream: The upstream.
@@ -430,14 +437,14 @@
         if upstream.state == "lost":
             upstream.pool.stop_new_work()
             if not is_primary or upstream.refuses_connections:
-                close_busy(upstream)
+                close_busy_connections(upstream)
         elif upstream.is_leaving and not is_primary:
             upstream.pool.stop_new_work()
         else:
             upstream.pool.resume_new_work()
 
-    def end_overdue_work(self, upstream: Upstream) -> None:
-        """Close what still runs on an upstream that was to leave long ago.
+    def close_overdue_connections(self, upstream: Upstream) -> None:
+        """Close busy connections of an upstream that has been leaving for too long.
 
         Args:
             upstream: An upstream of the group.
@@ -451,18 +458,18 @@
                 upstream=upstream.name,
                 connections=len(upstream.pool.busy),
             ).warning("leaving_limit_passed")
-            close_busy(upstream)
+            close_busy_connections(upstream)
 
     async def confirm(self, position: LogPosition, deadline_s: float) -> None:
         """Wait until a majority of the upstreams holds a committed write.
 
         Args:
             position: Position of the commit.
-            deadline_s: Monotonic time at which to give up.
+            deadline_s: Monotonic time at which the wait times out.
 
         Raises:
             RequestError: OUTCOME_UNKNOWN if it was not confirmed in time;
-                UPSTREAM_LOST if a change of primary has undone it.
+                UPSTREAM_LOST if a change of primary has discarded it.
         """
         self.record_request()
         try:
@@ -476,10 +483,10 @@
             ) from None
 
     async def wait_for_majority(self, position: LogPosition) -> bool:
-        """Wait for a majority within one term.
+        """Wait within one term until a majority holds a position.
 
         Args:
-            position: Position of the present term.
+            position: Position in the current term.
 
         Returns:
             Whether a majority holds it; False if the term ended.
@@ -490,10 +497,10 @@
         return await confirmations.wait(position.offset)
 
     def compute_confirm_lag(self) -> float:
-        """Return how far the slowest replica of the best majority is behind.
+        """Return the replication lag of the slowest replica in the fastest majority.
 
         Returns:
-            Seconds; infinite if too few replicas follow the primary.
+            The lag in seconds; infinite if too few replicas are reachable.
         """
         needed = self.majority - 1
         reachable = [
@@ -509,21 +516,21 @@
             if upstream.status is not None and upstream.is_following(self.term)
         )
         if len(lags) < needed:
-            # Just after a promotion the replicas still turn to the new primary.
+            # Shortly after a promotion the replicas still switch to the new primary.
             return now_s() - (self.primary_learned_at_s or 0.0)
         return lags[needed - 1] if needed else 0.0
 
     async def poll_all(self) -> None:
-        """Poll every upstream once; those that don't answer are noted as lost."""
+        """Poll every upstream once; those that don't reply are recorded as lost."""
         polls = [upstream.poll() for upstream in self.upstreams.values()]
         await asyncio.gather(*polls, return_exceptions=True)
 
 
-def close_busy(upstream: Upstream) -> None:
+def close_busy_connections(upstream: Upstream) -> None:
     """Close the connections that callers' requests use.
 
     Args:
-        upstream: An upstream that will not answer them.
+        upstream: An upstream from which they can expect no reply.
     """
     for connection in tuple(upstream.pool.busy):
         connection.close()
--- a/ebonyrack/upstreams/lag.py
+++ b/ebonyrack/upstreams/lag.py
@@ -1,4 +1,4 @@
-"""How far replicas are behind, in time of this process."""
+"""Replication lag, measured on the clock of this process."""
 
 from __future__ import annotations
 
@@ -15,10 +15,10 @@
 
 
 class PrimaryHistory:
-    """When this process first saw the primary at each position.
+    """Recent positions of the primary, with the times at which they were first seen.
 
     Attributes:
-        samples: Monotonic time and position, oldest first.
+        samples: Monotonic times and positions, oldest first.
     """
 
     __slots__ = ("samples",)
@@ -27,7 +27,7 @@
         self.samples: deque[tuple[float, LogPosition]] = deque(maxlen=MAXIMUM_SAMPLES)
 
     def add(self, position: LogPosition) -> None:
-        """Note the primary's present position.
+        """Record the primary's current position.
 
         Args:
             position: Last position of its log.
@@ -40,13 +40,13 @@
         self.samples.append((now, position))
 
     def compute_lag(self, position: LogPosition) -> float:
-        """Return for how long the primary has been past a position.
+        """Return how long ago the primary moved past a position.
 
         Args:
             position: Position of a replica.
 
         Returns:
-            Seconds since the primary was first seen past it; 0 if it was not.
+            Seconds since the primary was first seen past it; 0 if it never was.
         """
         lag_s = 0.0
         for seen_at_s, seen in reversed(self.samples):
@@ -56,5 +56,5 @@
         return lag_s
 
     def clear(self) -> None:
-        """Forget the positions of an earlier term."""
+        """Discard the positions of an earlier term."""
         self.samples.clear()
--- a/ebonyrack/upstreams/lag_test.py
+++ b/ebonyrack/upstreams/lag_test.py
@@ -3,7 +3,7 @@
 from ebonyrack.upstreams.lag import PrimaryHistory
 
 
-def test_lag_counts_from_when_the_primary_was_first_seen_past_a_position(monkeypatch):
+def test_lag_starts_when_the_primary_is_first_seen_past_a_position(monkeypatch):
     time_s = 100.0
     monkeypatch.setattr(lag, "now_s", lambda: time_s)
     history = PrimaryHistory()
@@ -18,7 +18,7 @@
     assert history.compute_lag(LogPosition(1, 4)) == 0.0
 
 
-def test_an_idle_primary_adds_no_lag(monkeypatch):
+def test_idle_primary_adds_no_lag(monkeypatch):
     time_s = 100.0
     monkeypatch.setattr(lag, "now_s", lambda: time_s)
     history = PrimaryHistory()
--- a/ebonyrack/upstreams/monitor.py
+++ b/ebonyrack/upstreams/monitor.py
@@ -1,4 +1,4 @@
-"""The tasks that poll one upstream of a group and ask it for confirmations."""
+"""Background tasks that poll one upstream of a group for status and confirmations."""
 
 from __future__ import annotations
 
@@ -15,30 +15,31 @@
     from ebonyrack.upstreams.group import DatabaseGroup
     from ebonyrack.upstreams.upstream import Upstream
 
-# A proxy that coordinates nothing and carries no request polls at this interval.
-IDLE_PROBE_INTERVAL_S = 2.0
-# One that coordinates nothing but carries requests polls at this interval; it hears of
-# a new primary from the coordinators.
-BUSY_PROBE_INTERVAL_S = 0.2
-# The first coordinator polls replicas, and the others poll all, at this many times the
-# probe interval: the first one's verdict counts, and the others act only after it.
-REPLICA_FACTOR = 2
-STANDBY_FACTOR = 4
-CONFIRM_CALL_S = 0.5
-# Both notices that end an idle wait are certain; the bound only guards against a fault.
-IDLE_WAIT_S = 10.0
-RETRY_PAUSE_S = 0.02
+# Poll interval of a proxy that is no coordinator and has no recent requests.
+IDLE_POLL_INTERVAL_S = 2.0
+# Poll interval of a proxy that is no coordinator but has recent requests; it is told
+# of a new primary by the coordinators.
+ACTIVE_POLL_INTERVAL_S = 0.2
+# Multiples of the probe interval at which the first coordinator polls replicas, and at
+# which the other coordinators poll every upstream: the first one decides about health,
+# and the others act only after it.
+REPLICA_INTERVAL_FACTOR = 2
+STANDBY_INTERVAL_FACTOR = 4
+CONFIRMATION_POLL_WAIT_S = 0.5
+# Every event that ends an idle wait is signalled; the limit only guards against a bug.
+MAXIMUM_IDLE_WAIT_S = 10.0
+RETRY_DELAY_S = 0.02
 WARM_CONNECTIONS = 1
-WARM_INTERVAL_S = 1.0
+WARM_CHECK_INTERVAL_S = 1.0
 
 
 class UpstreamMonitor:
-    """Owns an upstream and the tasks that watch it for its group.
+    """Owns an upstream and the tasks that monitor it for its group.
 
     Attributes:
         group: The group.
         upstream: The upstream.
-        wake: Set to poll at once.
+        wake: Set to poll immediately.
         tasks: The running tasks.
     """
 
@@ -53,50 +54,55 @@
     def start(self) -> None:
         """Start the tasks."""
         self.tasks = (
-            asyncio.create_task(self.probe()),
-            asyncio.create_task(self.confirm()),
+            asyncio.create_task(self.poll_forever()),
+            asyncio.create_task(self.poll_for_confirmations()),
             asyncio.create_task(self.keep_warm()),
         )
 
     async def stop(self) -> None:
-        """End the tasks and close the connections of the upstream."""
+        """Stop the tasks and close the connections of the upstream."""
         await end_tasks(self.tasks)
         await self.upstream.stop()
 
-    async def probe(self) -> None:
-        """Poll the upstream for ever, at the interval that the group needs."""
+    async def poll_forever(self) -> None:
+        """Poll the upstream forever, at the interval that the group needs."""
         while True:
             self.wake.clear()
             started_s = now_s()
             try:
                 await self.upstream.poll()
             except UpstreamLostError:
-                # The upstream has noted it; the next round polls again.
+                # Already recorded by the upstream; the next round polls again.
                 pass
-            self.group.end_overdue_work(self.upstream)
-            interval_s = self.compute_probe_interval() * random.uniform(0.9, 1.0)
+            self.group.close_overdue_connections(self.upstream)
+            interval_s = self.compute_poll_interval() * random.uniform(0.9, 1.0)
             try:
                 async with asyncio.timeout(max(0.0, started_s + interval_s - now_s())):
                     await self.wake.wait()
             except TimeoutError:
                 continue
 
-    def compute_probe_interval(self) -> float:
-        """Return the seconds between polls of an upstream."""
+    def compute_poll_interval(self) -> float:
+        """Return the seconds between two polls of the upstream."""
         group = self.group
         if group.coordinator_rank == 0:
-            factor = 1 if self.upstream.name == group.primary_name else REPLICA_FACTOR
+            factor = (
+                1
+                if self.upstream.name == group.primary_name
+                else REPLICA_INTERVAL_FACTOR
+            )
             return factor * group.section.probe_interval_s
         if group.coordinator_rank is not None:
-            return STANDBY_FACTOR * group.section.probe_interval_s
-        if group.is_carrying_requests:
-            return max(BUSY_PROBE_INTERVAL_S, group.section.probe_interval_s)
-        return IDLE_PROBE_INTERVAL_S
+            return STANDBY_INTERVAL_FACTOR * group.section.probe_interval_s
+        if group.has_recent_requests:
+            return max(ACTIVE_POLL_INTERVAL_S, group.section.probe_interval_s)
+        return IDLE_POLL_INTERVAL_S
 
     async def keep_warm(self) -> None:
-        """Keep a connection open for ever, as the upstream is or may become primary.
+        """Keep a connection open forever, as the upstream is or may become primary.
 
-        A task of its own, since opening may hang where a poll must notice it.
+        This is a separate task, so that polls go on and detect a failure while the
+        opening of a connection hangs.
         """
         upstream = self.upstream
         while True:
@@ -105,22 +111,22 @@
                     await upstream.pool.warm_up(WARM_CONNECTIONS)
                 except UpstreamLostError as error:
                     self.group.report_connection_lost(upstream.name, error.reason)
-            await self.group.changed.wait(WARM_INTERVAL_S)
+            await self.group.changed.wait(WARM_CHECK_INTERVAL_S)
 
-    async def confirm(self) -> None:
-        """Ask the replica for ever for the positions that waiting writes need."""
+    async def poll_for_confirmations(self) -> None:
+        """Poll a replica forever for the positions that pending writes wait for."""
         upstream, group = self.upstream, self.group
         while True:
             confirmations = group.confirmations
             offset = confirmations.find_lowest_missing(upstream.name)
             if not upstream.is_following(confirmations.term):
-                await group.changed.wait(IDLE_WAIT_S)
+                await group.changed.wait(MAXIMUM_IDLE_WAIT_S)
                 continue
             if offset is None:
-                await confirmations.added.wait(IDLE_WAIT_S)
+                await confirmations.pending_changed.wait(MAXIMUM_IDLE_WAIT_S)
                 continue
             position = LogPosition(confirmations.term, offset)
             try:
-                await upstream.poll(position, CONFIRM_CALL_S, received=True)
+                await upstream.poll(position, CONFIRMATION_POLL_WAIT_S, received=True)
             except UpstreamLostError:
-                await group.changed.wait(RETRY_PAUSE_S)
+                await group.changed.wait(RETRY_DELAY_S)
--- a/ebonyrack/upstreams/opening.py
+++ b/ebonyrack/upstreams/opening.py
@@ -1,4 +1,4 @@
-"""Opens a session with an upstream: connects, authenticates, reads how it started."""
+"""Opens sessions with an upstream: connects, authenticates and runs the startup."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from pygwire.exceptions import PygwireError
 
 from ebonyrack.core.address import Address
-from ebonyrack.upstreams.authentication import SessionStart
+from ebonyrack.upstreams.authentication import StartupResult
 from ebonyrack.upstreams.authentication import start_session
 from ebonyrack.upstreams.connection import UpstreamConnection
 from ebonyrack.upstreams.transport import FrameTransport
@@ -23,7 +23,7 @@
     Args:
         address: Address of the upstream.
         user: User name.
-        password: Password, or an empty string where the upstream trusts.
+        password: Password; empty if the upstream uses trust authentication.
         database: Database name.
         timeout_s: Seconds for connecting and starting the session.
 
@@ -31,7 +31,7 @@
         The session, idle.
 
     Raises:
-        UpstreamLostError: If the upstream refuses, goes away or takes too long.
+        UpstreamLostError: If the session is rejected, lost or not ready in time.
     """
     try:
         async with asyncio.timeout(timeout_s):
@@ -46,40 +46,41 @@
 
 async def start_or_close(
     frames: FrameTransport, user: str, password: str, database: str
-) -> SessionStart:
-    """Start the session, or close the connection if it does not start.
+) -> StartupResult:
+    """Start the session; close the connection if that fails.
 
     Args:
         frames: The connection.
         user: User name.
-        password: Password, or an empty string where the upstream trusts.
+        password: Password; empty if the upstream uses trust authentication.
         database: Database name.
 
     Returns:
-        What the upstream said of the session.
+        What the upstream reported about the session.
 
     Raises:
-        UpstreamLostError: If the upstream refuses, goes away or can't be understood.
+        UpstreamLostError: If the session is rejected or lost, or a message can't be
+            decoded.
     """
     try:
         return await start_session(frames, user, password, database)
     except PygwireError as error:
-        frames.close("the session did not start")
-        raise UpstreamLostError(f"the startup can't be decoded: {error}") from error
+        frames.close("session startup failed")
+        raise UpstreamLostError(f"cannot decode the startup: {error}") from error
     except BaseException:
-        frames.close("the session did not start")
+        frames.close("session startup failed")
         raise
 
 
 def build_connection(
-    address: Address, frames: FrameTransport, start: SessionStart
+    address: Address, frames: FrameTransport, start: StartupResult
 ) -> UpstreamConnection:
-    """Build the session from what the upstream said at its start.
+    """Build the session object from the result of the startup.
 
     Args:
         address: Address of the upstream.
         frames: The connection.
-        start: What the upstream said.
+        start: What the upstream reported.
 
     Returns:
         The session, idle.
@@ -89,5 +90,5 @@
     connection.secret_key = start.key.secret_key
     connection.transaction_status = start.status
     for message in start.parameters:
-        connection.note_role(message)
+        connection.record_role(message)
     return connection
--- a/ebonyrack/upstreams/pool.py
+++ b/ebonyrack/upstreams/pool.py
@@ -10,7 +10,7 @@
 
 
 class ConnectionPool(Pool[UpstreamConnection, GroupSection]):
-    """Connections to one upstream, opened with the group's user."""
+    """Connections to one upstream, opened with the group's credentials."""
 
     __slots__ = ()
 
@@ -27,7 +27,7 @@
             The connection, idle.
 
         Raises:
-            UpstreamLostError: If the upstream refuses, goes away or takes too long.
+            UpstreamLostError: If the session is rejected, lost or not ready in time.
         """
         section = self.section
         return await open_connection(
--- a/ebonyrack/upstreams/pool_machine_test.py
+++ b/ebonyrack/upstreams/pool_machine_test.py
@@ -1,4 +1,4 @@
-"""Any order of requests, releases, losses and resizes against a pool."""
+"""Stateful test of a pool: requests, releases, losses and resizes in any order."""
 
 import asyncio
 
@@ -33,12 +33,12 @@
     pool_slots,
     wait_estimator,
 )
-SETTLE_STEPS = 20
+LOOP_STEPS = 20
 WAIT_S = 3600.0
 
 
 class FakeConnection:
-    """A connection that is clean until the test says otherwise."""
+    """A connection that is clean until the test changes it."""
 
     def __init__(self):
         self.is_clean = True
@@ -50,11 +50,11 @@
 
 
 class PoolMachine(RuleBasedStateMachine):
-    """Drives a pool whose connections open when a rule says so."""
+    """Drives a pool whose connections open when a rule completes them."""
 
     def __init__(self):
         super().__init__()
-        # Time passes only by a rule, so that every run takes the same way.
+        # The clock advances only by a rule, so that every run is deterministic.
         self.clock_s = 1000.0
         self.loop = asyncio.new_event_loop()
         self.loop.time = self.read_clock
@@ -69,7 +69,7 @@
         self.held = []
         logger.disable(pool_module.__name__)
         self.allowed = 2
-        self.original = postgresql_pool.open_connection
+        self.original_open_connection = postgresql_pool.open_connection
         postgresql_pool.open_connection = self.open_connection
 
     def read_clock(self):
@@ -83,9 +83,9 @@
         finally:
             self.opens.remove(gate)
 
-    def settle(self):
+    def run_loop(self):
         async def step():
-            for _ in range(SETTLE_STEPS):
+            for _ in range(LOOP_STEPS):
                 await asyncio.sleep(0)
 
         self.loop.run_until_complete(step())
@@ -108,7 +108,7 @@
             self.requests.append(asyncio.ensure_future(request))
 
         self.loop.run_until_complete(start())
-        self.settle()
+        self.run_loop()
 
     @rule(caller=CALLERS)
     def fill_queue(self, caller):
@@ -120,7 +120,7 @@
         self.acquire(caller)
         for gate in self.opens:
             gate.set_result(FakeConnection())
-        self.settle()
+        self.run_loop()
 
     @precondition(lambda self: self.opens)
     @rule(data=st.data(), outcome=st.sampled_from(["opened", "opened", "lost", "full"]))
@@ -131,7 +131,7 @@
         else:
             sqlstate = "53300" if outcome == "full" else ""
             gate.set_exception(UpstreamLostError(outcome, sqlstate))
-        self.settle()
+        self.run_loop()
 
     @precondition(lambda self: self.held)
     @rule(data=st.data(), is_clean=st.sampled_from([True, True, False]))
@@ -140,7 +140,7 @@
         connection.is_clean = is_clean
         connection.users -= 1
         self.pool.release(connection)
-        self.settle()
+        self.run_loop()
 
     @precondition(lambda self: self.held)
     @rule()
@@ -149,22 +149,22 @@
             connection = self.held.pop()
             connection.users -= 1
             self.pool.release(connection)
-            self.settle()
+            self.run_loop()
 
     @precondition(lambda self: self.held and self.pool.waiting_count)
     @rule(data=st.data())
-    def release_while_a_waiter_gives_up(self, data):
+    def release_while_a_waiter_is_cancelled(self, data):
         connection = self.held.pop()
         connection.users -= 1
         self.pool.release(connection)
         data.draw(st.sampled_from(self.requests)).cancel()
-        self.settle()
+        self.run_loop()
 
     @precondition(lambda self: self.requests)
     @rule(data=st.data())
-    def give_up(self, data):
+    def cancel_request(self, data):
         data.draw(st.sampled_from(self.requests)).cancel()
-        self.settle()
+        self.run_loop()
 
     @precondition(lambda self: self.pool.idle)
     @rule(data=st.data())
@@ -174,33 +174,33 @@
     @rule(limit=st.integers(0, 4))
     def resize(self, limit):
         self.pool.resize(limit)
-        self.settle()
+        self.run_loop()
 
     @precondition(lambda self: self.pool.size_limit.refused_at_s is not None)
     @rule()
-    def let_time_pass(self):
+    def advance_clock(self):
         self.clock_s += 1.0
-        self.settle()
+        self.run_loop()
 
     @precondition(lambda self: self.held and self.pool.open_count > 1)
     @rule()
-    def leave_and_return(self):
+    def stop_and_resume_new_work(self):
         self.pool.stop_new_work()
-        self.settle()
+        self.run_loop()
         assert not self.pool.waiting_count and not self.pool.idle
         self.pool.resume_new_work()
 
     @rule(count=st.integers(0, 4))
     def warm(self, count):
         self.requests.append(self.loop.create_task(self.warm_up(count)))
-        self.settle()
+        self.run_loop()
 
     async def warm_up(self, count):
         await self.pool.warm_up(count)
-        raise UpstreamLostError("warm connections belong to nobody")
+        raise UpstreamLostError("warm connections have no user")
 
     @invariant()
-    def places_are_counted_and_bounded(self):
+    def connections_are_counted_and_limited(self):
         pool = self.pool
         assert pool.opening == len(self.opens)
         assert set(pool.busy) == set(self.held)
@@ -211,7 +211,7 @@
             assert not pool.idle
 
     @invariant()
-    def nobody_waits_while_there_is_a_place(self):
+    def no_request_waits_while_a_connection_is_available(self):
         pool = self.pool
         assert len(pool.queue) <= pool.queue.limit
         if pool.queue:
@@ -219,7 +219,7 @@
             assert pool.open_count > 0
 
     @invariant()
-    def waiters_stand_in_order_of_arrival(self):
+    def waiters_are_queued_in_order_of_arrival(self):
         for queue in self.pool.queue.callers.values():
             numbers = [waiter.number for waiter in queue.waiters]
             assert numbers == sorted(numbers)
@@ -228,7 +228,7 @@
         try:
             for request in self.requests:
                 request.cancel()
-            self.settle()
+            self.run_loop()
             for connection in self.held:
                 self.pool.release(connection)
             assert self.pool.busy_count == 0 and self.pool.waiting_count == 0
@@ -236,7 +236,7 @@
         finally:
             logger.enable(pool_module.__name__)
             self.pool.size_limit.stop_raising()
-            postgresql_pool.open_connection = self.original
+            postgresql_pool.open_connection = self.original_open_connection
             self.clocks.undo()
             self.loop.close()
 
--- a/ebonyrack/upstreams/pool_test.py
+++ b/ebonyrack/upstreams/pool_test.py
@@ -36,8 +36,8 @@
         assert upstream.opened == 1
 
 
-async def test_unclean_connection_is_closed_and_its_place_freed(upstream):
-    upstream.answers["BEGIN"] = b"Z\0\0\0\x05T"
+async def test_unclean_connection_is_closed_and_its_slot_freed(upstream):
+    upstream.responses["BEGIN"] = b"Z\0\0\0\x05T"
     async with build_pool(upstream, 1) as pool:
         first = await acquire(pool)
         await first.query("BEGIN", WAIT_S)
@@ -47,7 +47,7 @@
         assert second is not first
 
 
-async def test_only_whole_service_counts_for_the_pace(upstream):
+async def test_only_completed_requests_count_for_the_service_time(upstream):
     async with build_pool(upstream, 1) as pool:
         before_s = pool.queue.estimator.service_s
         broken = await acquire(pool)
@@ -71,7 +71,7 @@
         assert (await second.query("a", WAIT_S)).rows == (("a",),)
 
 
-async def test_connection_is_released_once(upstream):
+async def test_connection_can_be_released_only_once(upstream):
     async with build_pool(upstream, 1) as pool:
         connection = await acquire(pool)
         pool.release(connection)
@@ -96,7 +96,7 @@
         assert served == [0, 1, 2, 3, 4]
 
 
-async def test_waiters_end_at_once_when_the_upstream_leaves(upstream):
+async def test_waiters_fail_immediately_when_the_upstream_leaves(upstream):
     async with build_pool(upstream, 1) as pool:
         held = await acquire(pool)
         waiter = acquire(pool)
@@ -113,7 +113,7 @@
         pool.release(await acquire(pool))
 
 
-async def test_opening_ends_at_once_when_the_upstream_is_lost():
+async def test_opening_fails_immediately_when_the_upstream_is_lost():
     def accept(reader, writer):
         sessions.append(writer)
 
@@ -123,11 +123,11 @@
     section = GroupSection(owner="database", upstreams=())
     async with ConnectionPool(Address("127.0.0.1", port), section, 2) as pool:
         opening = acquire(pool)
-        given_up = acquire(pool)
+        cancelled = acquire(pool)
         await wait_until(lambda: len(sessions) == 2)
-        given_up.cancel()
-        await asyncio.wait({given_up})
-        assert given_up.cancelled()
+        cancelled.cancel()
+        await asyncio.wait({cancelled})
+        assert cancelled.cancelled()
         assert pool.open_count == 1
         pool.stop_new_work()
         with pytest.raises(UpstreamLostError, match="takes no new work"):
@@ -139,7 +139,7 @@
     await server.wait_closed()
 
 
-async def test_deadline_ends_the_wait_with_a_time_to_come_back(upstream):
+async def test_wait_ends_at_its_deadline_with_a_retry_after(upstream):
     async with build_pool(upstream, 1) as pool:
         held = await acquire(pool)
         with pytest.raises(RequestError) as caught:
@@ -151,7 +151,7 @@
         assert pool.idle_count == 1
 
 
-async def test_upstream_that_refuses_connections_lowers_the_limit(upstream):
+async def test_rejected_connection_lowers_the_limit(upstream):
     upstream.limit = 2
     async with build_pool(upstream, 5) as pool:
         held = [await acquire(pool), await acquire(pool)]
@@ -164,7 +164,7 @@
         assert pool.current_limit == 5
 
 
-async def test_upstream_without_any_connection_to_spare_refuses(upstream):
+async def test_request_fails_if_the_upstream_rejects_every_connection(upstream):
     upstream.limit = 0
     async with build_pool(upstream, 5) as pool:
         with pytest.raises(RequestError) as caught:
@@ -189,7 +189,7 @@
         assert (pool.limit, pool.idle_count) == (1, 1)
 
 
-async def test_changed_section_changes_the_length_of_the_queue(upstream):
+async def test_changed_section_changes_the_queue_limit(upstream):
     async with build_pool(upstream, 1) as pool:
         held = await acquire(pool)
         pool.section = pool.section.model_copy(update={"queue_limit": 1})
@@ -202,7 +202,7 @@
         pool.release(await waiter)
 
 
-async def test_warm_connections_stay_within_the_limit(upstream):
+async def test_warm_up_stays_within_the_connection_limit(upstream):
     async with build_pool(upstream, 3) as pool:
         assert await pool.warm_up(10) == 3
         assert (pool.idle_count, upstream.opened) == (3, 3)
@@ -212,7 +212,7 @@
         assert pool.current_limit == 3
 
 
-async def test_cancelled_opening_frees_its_place(upstream):
+async def test_cancelled_opening_frees_its_slot(upstream):
     async with build_pool(upstream, 1) as pool:
         task = acquire(pool)
         await wait_until(lambda: pool.opening == 1)
--- a/ebonyrack/upstreams/position_waits.py
+++ b/ebonyrack/upstreams/position_waits.py
@@ -21,44 +21,45 @@
     from ebonyrack.upstreams.contract import EbonyrackContract
     from ebonyrack.upstreams.status import UpstreamStatus
 
-# Longest wait of one call. Both kinds of waits share the connection, so none may hold
-# it for long; received positions decide how soon a write is acknowledged.
-RECEIVED_CALL_S = 0.05
-APPLIED_CALL_S = 0.02
-# The connection is given back to the upstream after this time without a wait.
-IDLE_CLOSE_S = 5.0
+# Longest wait of one call. Both kinds of waits share one connection, so a call must
+# not occupy it for long. Waits for a received position may be longer, as they decide
+# how soon a write is acknowledged.
+RECEIVED_WAIT_LIMIT_S = 0.05
+APPLIED_WAIT_LIMIT_S = 0.02
+# The connection is closed after this time without a wait.
+IDLE_TIMEOUT_S = 5.0
 
 
 @dataclass(order=True, slots=True)
 class PositionWait:
-    """One caller that waits for a position.
+    """One pending wait for a position.
 
     Attributes:
         position: Position to reach.
         number: Order of arrival, which breaks ties.
-        deadline_s: Monotonic time at which the caller gives up.
-        answer: Set to the status that covers the position.
+        deadline_s: Monotonic time at which the wait times out.
+        result: Resolved to the status that covers the position.
     """
 
     position: LogPosition
     number: int
     deadline_s: float = field(compare=False)
-    answer: asyncio.Future[UpstreamStatus] = field(compare=False)
+    result: asyncio.Future[UpstreamStatus] = field(compare=False)
 
 
 class PositionWaits:
-    """The callers that wait for positions of one upstream.
+    """The pending waits for log positions of one upstream.
 
-    One call is in flight at a time, for the lowest position waited for; its answer
-    settles every caller that it covers.
+    One call is in flight at a time, for the lowest pending position of one kind; its
+    result resolves every wait that it covers.
 
     Attributes:
-        control: Connection of its own, so that a wait delays no poll.
-        contract: Builds and reads the calls.
-        answer_timeout_s: Seconds that an answer may take beyond the wait itself.
-        on_status: Called with each status and the time at which it was asked for.
-        heaps: Waiting callers, by whether they wait for the received position.
-        task: The task that makes the calls, or None if none is needed.
+        control: A separate connection, so that waits do not delay plain polls.
+        contract: Builds the calls and parses their results.
+        answer_timeout_s: Seconds that a result may take beyond the wait itself.
+        on_status: Called with each status and the time at which its poll was sent.
+        heaps: Pending waits, by whether they are for the received position.
+        task: The task that makes the calls, or None.
     """
 
     __slots__ = (
@@ -70,7 +71,7 @@
         "task",
         "wake",
         "numbers",
-        "last_received",
+        "last_was_received",
     )
 
     def __init__(
@@ -88,7 +89,7 @@
         self.task: asyncio.Task[None] | None = None
         self.wake = asyncio.Event()
         self.numbers = itertools.count()
-        self.last_received = False
+        self.last_was_received = False
 
     async def wait(
         self, position: LogPosition, wait_s: float, received: bool
@@ -97,38 +98,38 @@
 
         Args:
             position: Position to reach.
-            wait_s: Seconds to wait at most.
-            received: Wait for the received rather than the applied position.
+            wait_s: Longest time to wait, in seconds.
+            received: Whether to wait for the received instead of the applied position.
 
         Returns:
-            The status that covers the position, or None if the time is over.
+            The status that covers the position, or None on timeout.
 
         Raises:
-            UpstreamLostError: If the upstream was lost meanwhile.
+            UpstreamLostError: If the upstream was lost in the meantime.
         """
-        answer: asyncio.Future[UpstreamStatus] = (
+        result: asyncio.Future[UpstreamStatus] = (
             asyncio.get_running_loop().create_future()
         )
         deadline_s = now_s() + wait_s
-        entry = PositionWait(position, next(self.numbers), deadline_s, answer)
+        entry = PositionWait(position, next(self.numbers), deadline_s, result)
         heapq.heappush(self.heaps[received], entry)
         self.start()
         try:
             async with asyncio.timeout(wait_s):
-                return await answer
+                return await result
         except TimeoutError:
             return None
         finally:
-            answer.cancel()
+            result.cancel()
 
     def start(self) -> None:
-        """Make sure that the task runs and knows of the new caller."""
+        """Start the task if it is not running, and wake it for a new wait."""
         if self.task is None or self.task.done():
             self.task = asyncio.create_task(self.run())
         self.wake.set()
 
     async def run(self) -> None:
-        """Make calls as long as anyone waits, and a little longer."""
+        """Make calls until there has been no wait for `IDLE_TIMEOUT_S`."""
         while True:
             self.wake.clear()
             entry = self.choose_next()
@@ -136,75 +137,75 @@
                 await self.make_call(*entry)
                 continue
             try:
-                async with asyncio.timeout(IDLE_CLOSE_S):
+                async with asyncio.timeout(IDLE_TIMEOUT_S):
                     await self.wake.wait()
             except TimeoutError:
                 self.control.close()
                 return
 
     def choose_next(self) -> tuple[PositionWait, bool] | None:
-        """Choose the call to make: the kinds take turns, lowest position first.
+        """Choose the next wait: lowest position first, alternating between the kinds.
 
         Returns:
             The wait and whether it is for the received position, or None.
         """
-        for received in (not self.last_received, self.last_received):
+        for received in (not self.last_was_received, self.last_was_received):
             heap = self.heaps[received]
-            while heap and heap[0].answer.done():
+            while heap and heap[0].result.done():
                 heapq.heappop(heap)
             if heap:
-                self.last_received = received
+                self.last_was_received = received
                 return heap[0], received
         return None
 
     async def make_call(self, entry: PositionWait, received: bool) -> None:
-        """Make one call and settle what its answer covers.
+        """Make one call and resolve the waits that its result covers.
 
         Args:
             entry: The wait with the lowest position.
             received: Whether it is for the received position.
         """
-        longest_s = RECEIVED_CALL_S if received else APPLIED_CALL_S
-        wait_ms = round(longest_s * 1000)
-        asked_at_s = now_s()
+        wait_limit_s = RECEIVED_WAIT_LIMIT_S if received else APPLIED_WAIT_LIMIT_S
+        wait_ms = round(wait_limit_s * 1000)
+        poll_sent_at_s = now_s()
         sql = self.contract.build_poll(entry.position, wait_ms, received)
         try:
-            answer = await self.control.query(sql, longest_s + self.answer_timeout_s)
-            status = self.contract.parse_status(answer.rows[0])
+            result = await self.control.query(sql, wait_limit_s + self.answer_timeout_s)
+            status = self.contract.parse_status(result.rows[0])
         except (UpstreamLostError, ValueError) as error:
-            self.fail(UpstreamLostError(str(error)))
+            self.fail_all(UpstreamLostError(str(error)))
             return
-        self.settle(status)
-        self.on_status(status, asked_at_s)
+        self.resolve_reached(status)
+        self.on_status(status, poll_sent_at_s)
 
-    def settle(self, status: UpstreamStatus) -> None:
-        """Answer every caller whose position a status covers.
+    def resolve_reached(self, status: UpstreamStatus) -> None:
+        """Resolve every wait whose position a status covers.
 
         Args:
-            status: A status of the upstream, from this or another connection.
+            status: A status of the upstream, received on this or another connection.
         """
         for received, heap in self.heaps.items():
             reached = status.received if received else status.applied
-            while heap and (heap[0].answer.done() or heap[0].position <= reached):
+            while heap and (heap[0].result.done() or heap[0].position <= reached):
                 entry = heapq.heappop(heap)
-                if not entry.answer.done():
-                    entry.answer.set_result(status)
+                if not entry.result.done():
+                    entry.result.set_result(status)
 
-    def fail(self, error: UpstreamLostError) -> None:
-        """End every wait with an error.
+    def fail_all(self, error: UpstreamLostError) -> None:
+        """Fail every pending wait.
 
         Args:
-            error: Why the upstream can't be waited for.
+            error: Why the waits can't be satisfied.
         """
         for heap in self.heaps.values():
             for entry in heap:
-                if not entry.answer.done():
-                    entry.answer.set_exception(UpstreamLostError(error.reason))
+                if not entry.result.done():
+                    entry.result.set_exception(UpstreamLostError(error.reason))
             heap.clear()
 
     async def close(self) -> None:
-        """End the task, every wait and the connection."""
+        """Stop the task, fail every pending wait and close the connection."""
         await end_tasks([self.task])
         self.task = None
-        self.fail(UpstreamLostError("the upstream was removed"))
+        self.fail_all(UpstreamLostError("the upstream was removed"))
         self.control.close()
--- a/ebonyrack/upstreams/primary_wait.py
+++ b/ebonyrack/upstreams/primary_wait.py
@@ -1,4 +1,4 @@
-"""Bounded waiting until a database group has a primary."""
+"""Bounded queue of the requests that wait for a primary."""
 
 from __future__ import annotations
 
@@ -15,15 +15,15 @@
 
 
 class PrimaryWait:
-    """Requests that wait for a primary, as many as the queue of its pool may hold.
+    """Requests that wait for a primary, at most as many as its pool's queue may hold.
 
-    All are woken when the group changes, and those that find a primary go on to the
-    queue of its pool. One more than that queue holds is refused at once: it would be
-    refused later, and together with all others.
+    All of them wake up when the group changes, and move on to the queue of the
+    primary's pool once there is one. A request beyond that queue's limit is rejected
+    immediately: it would be rejected later anyway, together with all the others.
 
     Attributes:
         changed: Notified when the group changes.
-        queue: The requests.
+        queue: The waiting requests.
     """
 
     __slots__ = ("changed", "queue")
@@ -33,26 +33,28 @@
         self.queue = AdmissionQueue(0)
 
     def build_waiter(self, caller: str, deadline_s: float) -> Waiter:
-        """Build a request that does not wait yet.
+        """Build a queue entry for a request that does not wait yet.
 
         Args:
-            caller: Name of the application that asks.
-            deadline_s: Monotonic time at which it gives up.
+            caller: Application name of the caller.
+            deadline_s: Monotonic time at which the request times out.
 
         Returns:
-            The request, with its place in the order of arrival.
+            The entry, with its position in the order of arrival.
         """
         return Waiter(caller, deadline_s, next(self.queue.arrivals))
 
-    def serve_by(self, primary: Upstream | None, previous: Upstream | None) -> None:
-        """Let a new primary go on with the pace at which writes were served.
+    def switch_primary(
+        self, primary: Upstream | None, previous: Upstream | None
+    ) -> None:
+        """Carry the measured service time of writes over to a new primary.
 
-        Its own tells of reads, or of nothing, and callers that it refuses would be
-        told to come back much too early.
+        The new primary's own service time was measured on reads, or not at all, and
+        would give rejected callers a retry-after that is much too short.
 
         Args:
             primary: The new primary, or None.
-            previous: The primary before it, or None.
+            previous: The previous primary, or None.
         """
         if previous is not None:
             previous.pool.queue.estimator = WaitEstimator()
@@ -69,10 +71,10 @@
         """Wait until the group changes.
 
         Args:
-            waiter: The request, which keeps its place if it has waited before.
-            wait_s: Seconds to wait at most.
+            waiter: The request; it keeps its position if it has waited before.
+            wait_s: Longest time to wait, in seconds.
             section: Section of the group.
-            last_primary: Upstream whose connections tell how long the queue takes,
+            last_primary: Upstream whose connection limit is used to estimate the wait,
                 or None.
 
         Raises:
--- a/ebonyrack/upstreams/query_result.py
+++ b/ebonyrack/upstreams/query_result.py
@@ -1,4 +1,4 @@
-"""The whole answer to a control query, read and decoded."""
+"""Reads and decodes the result of a control query."""
 
 from __future__ import annotations
 
@@ -22,13 +22,13 @@
 
 @dataclass(frozen=True, slots=True)
 class QueryResult:
-    """The whole answer to a simple query.
+    """The complete result of a simple query.
 
     Attributes:
-        columns: Column names of the last result.
-        rows: Rows in text form; None stands for NULL.
+        columns: Column names of the last result set.
+        rows: Rows of the last result set in text format; None stands for NULL.
         tag: Command tag of the last statement.
-        error: Fields of the error answer, or None.
+        error: Fields of the ErrorResponse, or None.
     """
 
     columns: tuple[str, ...]
@@ -46,10 +46,10 @@
         read_message: Waits for the next message of the upstream.
 
     Returns:
-        The answer.
+        The result.
 
     Raises:
-        UpstreamLostError: If the connection ended or the answer has too many rows.
+        UpstreamLostError: If the connection ended or the result has too many rows.
         PygwireError: If a message can't be decoded.
     """
     columns: tuple[str, ...] = ()
@@ -76,7 +76,7 @@
 def read_column_names(raw: bytes) -> tuple[str, ...]:
     """Decode the column names of a RowDescription.
 
-    Control queries get the same few descriptions again and again.
+    Control queries return the same few descriptions repeatedly, hence the cache.
 
     Args:
         raw: The frame.
@@ -89,7 +89,7 @@
 
 
 def decode_row(message: Message) -> tuple[str | None, ...]:
-    """Decode a DataRow in text form.
+    """Decode a DataRow in text format.
 
     Args:
         message: The DataRow.
@@ -104,7 +104,7 @@
 
 
 def check_row_count(count: int) -> None:
-    """Refuse an answer that would fill the memory.
+    """Reject a result that would use too much memory.
 
     Args:
         count: Rows so far.
@@ -113,4 +113,4 @@
         UpstreamLostError: If there are too many.
     """
     if count > MAXIMUM_CONTROL_ROWS:
-        raise UpstreamLostError("the answer to a control query has too many rows")
+        raise UpstreamLostError("the result of a control query has too many rows")
--- a/ebonyrack/upstreams/status.py
+++ b/ebonyrack/upstreams/status.py
@@ -9,7 +9,7 @@
 
 
 class Role(StrEnum):
-    """Part of an upstream in its database group."""
+    """Role of an upstream in its database group."""
 
     PRIMARY = "primary"
     REPLICA = "replica"
@@ -17,17 +17,17 @@
 
 @dataclass(frozen=True, slots=True)
 class UpstreamStatus:
-    """One answer of an upstream to a poll.
+    """An upstream's reply to a poll.
 
     Attributes:
         role: Whether it accepts writes or follows a primary.
         term: Term in which it is primary, or term of the primary it follows.
         fenced_term: Highest term that it has granted to a ballot.
-        received: Position of the last entry that its log holds.
-        applied: Position of the last entry that its reads show.
+        received: Position of the last entry in its log.
+        applied: Position of the last entry visible to reads.
         leaving: Whether it is about to leave the group.
-        silence_s: Seconds since a replica last heard from the primary that it
-            follows; None on a primary or if the upstream can't tell.
+        silence_s: Seconds since a replica last received anything from the primary that
+            it follows; None on a primary or if the upstream does not measure it.
     """
 
     role: Role
--- a/ebonyrack/upstreams/transport.py
+++ b/ebonyrack/upstreams/transport.py
@@ -14,7 +14,7 @@
 
 HEADER = struct.Struct("!cI")
 HEADER_BYTES = HEADER.size
-# The length field of a frame counts itself but not the kind byte.
+# The length field of a frame includes itself but not the type byte.
 LENGTH_BYTES = 4
 MAXIMUM_FRAME_BYTES = 64 * 1024 * 1024
 READ_BUFFER_BYTES = 256 * 1024
@@ -22,11 +22,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Message:
-    """One protocol message as it arrived.
+    """One protocol message, not decoded.
 
     Attributes:
-        kind: Kind byte.
-        raw: The whole frame, header included.
+        kind: Message type byte.
+        raw: The whole frame, including the header.
     """
 
     kind: bytes
@@ -39,7 +39,7 @@
 
 
 class FrameTransport(ConnectionStream):
-    """Splits what arrives from an upstream into frames."""
+    """Splits the bytes received from an upstream into frames."""
 
     __slots__ = ()
 
@@ -49,28 +49,28 @@
         super().__init__(READ_BUFFER_BYTES)
 
     def build_lost_error(self, reason: str) -> UpstreamLostError:
-        """Build the error that readers and writers get after the end."""
+        """Build the error that is raised to readers and writers after the end."""
         return UpstreamLostError(reason)
 
     def close(self, reason: str) -> None:
-        """Drop the connection at once, without sending what is still queued.
+        """Close the connection immediately, discarding unsent bytes.
 
         Args:
-            reason: Why, for whoever reads from it later.
+            reason: Reason, reported to later readers and writers.
         """
         self.abort(reason)
 
-    def take_frame(self) -> Message | None:
-        """Take the next whole frame that has arrived, or return None.
+    def pop_frame(self) -> Message | None:
+        """Return the next whole frame that has arrived, or None.
 
         Raises:
-            UpstreamLostError: If the length of the frame is not valid.
+            UpstreamLostError: If the length of the frame is invalid.
         """
         if len(self.buffer) < HEADER_BYTES:
             return None
         kind, length = HEADER.unpack_from(self.buffer)
         if not LENGTH_BYTES <= length <= MAXIMUM_FRAME_BYTES:
-            self.close(f"the upstream sent a frame of {length} bytes")
+            self.close(f"the upstream sent an invalid frame of {length} bytes")
             raise UpstreamLostError(self.lost_reason or "")
         end = length + 1
         if len(self.buffer) < end:
@@ -83,13 +83,14 @@
         """Wait for the next whole frame.
 
         Returns:
-            The frame. Frames that arrived before the connection ended still come.
+            The frame; frames that arrived before the end of the connection are still
+            returned.
 
         Raises:
-            UpstreamLostError: If the connection ended before a whole frame came.
+            UpstreamLostError: If the connection ended before a whole frame arrived.
         """
         while True:
-            message = self.take_frame()
+            message = self.pop_frame()
             if message is not None:
                 return message
             if self.lost_reason is not None:
@@ -101,13 +102,13 @@
     """Open the TCP connection.
 
     Args:
-        address: Address by IP number.
+        address: IP address and port.
 
     Returns:
         The connection.
 
     Raises:
-        UpstreamLostError: If it is refused or unreachable.
+        UpstreamLostError: If the connection is refused or can't be made.
     """
     loop = asyncio.get_running_loop()
     try:
@@ -115,5 +116,5 @@
             FrameTransport, address.host, address.port
         )
     except OSError as error:
-        raise UpstreamLostError(f"can't connect to {address}: {error}") from error
+        raise UpstreamLostError(f"cannot connect to {address}: {error}") from error
     return frames
--- a/ebonyrack/upstreams/upstream.py
+++ b/ebonyrack/upstreams/upstream.py
@@ -1,4 +1,4 @@
-"""One upstream of a database group: its connections, status and life cycle."""
+"""One upstream of a database group: its connections, status and state."""
 
 from __future__ import annotations
 
@@ -28,18 +28,18 @@
     from ebonyrack.config.sections import GroupSection
     from ebonyrack.config.sections import UpstreamSpec
 
-# Lateness beyond a timeout that shows that this process itself was paused.
+# A timeout that is noticed this much too late shows that this process was paused.
 PAUSE_LIMIT_S = 0.1
-# Connections to a replica that are not for callers: polls, and waits for positions.
+# Control connections to a replica: one for polls and one for position waits.
 REPLICA_CONTROL_CONNECTIONS = 2
 PRIMARY_CONTROL_CONNECTIONS = 1
 TOO_MANY_CONNECTIONS = "53300"
-# A pause of this process makes the poll in flight and perhaps the next one slow.
-MINIMUM_SLOW_ANSWERS = 3
-# A fast answer takes at most this share of the limit for slow ones.
-FAST_SHARE = 0.5
+# A pause of this process can make the poll in flight and the next one slow.
+MINIMUM_SLOW_POLLS = 3
+# A fast poll takes at most this fraction of the limit for slow ones.
+FAST_POLL_FRACTION = 0.5
 
-LIFE_CYCLE = Machine(
+STATE_MACHINE = Machine(
     model=None,
     states=["unknown", "answering", "departing", "lost"],
     initial="unknown",
@@ -53,28 +53,28 @@
 
 
 class Upstream(Component):
-    """An upstream as this proxy sees it.
+    """This proxy's view of an upstream.
 
     Attributes:
         spec: Name, address and data centre from the operators' document.
         section: Section of the group.
         pool: Connections for callers' transactions.
-        status: Latest answer to a poll, or None.
-        asked_at_s: Monotonic time at which that answer was asked for.
-        answered_at_s: Monotonic time of that answer, or None.
-        confirmed_log: What it was counted with in majorities.
-        lost_at_s: Monotonic time at which it was found lost, or None.
-        refuses_connections: Whether it was found lost because it refuses
-            connections.
-        poll_time_s: Seconds that the latest plain poll took, or None.
-        slow_since_s: Monotonic time of the first of the slow answers in a row, or
-            None if the latest was not slow.
-        slow_poll_count: Slow answers in a row.
+        status: Status from the latest reply to a poll, or None.
+        poll_sent_at_s: Monotonic time at which that poll was sent.
+        answered_at_s: Monotonic time at which that reply arrived, or None.
+        confirmed_log: The confirmed part of its log.
+        lost_at_s: Monotonic time of the first failed poll since the latest reply, or
+            None.
+        refuses_connections: Whether the latest poll failed because the connection was
+            refused.
+        poll_time_s: Duration of the latest plain poll in seconds, or None.
+        slow_since_s: Monotonic time of the first of the consecutive slow polls, or
+            None if the latest poll was not slow.
+        slow_poll_count: Number of consecutive slow polls.
         is_marked_leaving: Whether the document or the VM list says it is leaving.
-        on_status: Called after each answer.
-        on_change: Called after a change of state.
-        state: `unknown`, `answering`, `departing` (it answers but is leaving) or
-            `lost`.
+        on_status: Called after each status update.
+        on_change: Called after each change of state.
+        state: `unknown`, `answering`, `departing` (reachable but leaving) or `lost`.
     """
 
     state: str
@@ -89,7 +89,7 @@
         self.section = section
         self.connection_limit = connection_limit
         self.status: UpstreamStatus | None = None
-        self.asked_at_s = 0.0
+        self.poll_sent_at_s = 0.0
         self.answered_at_s: float | None = None
         self.confirmed_log = ConfirmedLog()
         self.lost_at_s: float | None = None
@@ -102,7 +102,7 @@
         self.contract = CONTRACTS.get(section.contract)()
         self.pool = ConnectionPool(spec.address, section, self.compute_pool_limit())
         self.control = ControlConnection(spec.address, section)
-        self.waits = PositionWaits(
+        self.position_waits = PositionWaits(
             ControlConnection(spec.address, section),
             self.contract,
             section.suspect_after_s,
@@ -110,21 +110,21 @@
         )
         self.next_poll: asyncio.Task[UpstreamStatus] | None = None
         self.polls: set[asyncio.Task[UpstreamStatus]] = set()
-        self.on_status: Callable[[Upstream], None] = ignore
-        self.on_change: Callable[[Upstream], None] = ignore
-        LIFE_CYCLE.add_model(self)
+        self.on_status: Callable[[Upstream], None] = do_nothing
+        self.on_change: Callable[[Upstream], None] = do_nothing
+        STATE_MACHINE.add_model(self)
 
     async def start(self) -> None:
         """Start the pool."""
         await self.pool.start()
 
     async def stop(self) -> None:
-        """End the polls, the waits and the connections."""
+        """Stop the polls and waits, and close the connections."""
         await end_tasks(self.polls)
-        await self.waits.close()
+        await self.position_waits.close()
         self.control.close()
         await self.pool.stop()
-        LIFE_CYCLE.remove_model(self)
+        STATE_MACHINE.remove_model(self)
 
     @property
     def name(self) -> str:
@@ -133,38 +133,38 @@
 
     @property
     def is_reachable(self) -> bool:
-        """Whether it answered the latest poll."""
+        """Whether it replied to the latest poll."""
         return self.state in ("answering", "departing")
 
     @property
     def is_leaving(self) -> bool:
-        """Whether it is about to leave, by anyone's word."""
+        """Whether it, the document or the VM list says that it is about to leave."""
         return self.is_marked_leaving or (
             self.status is not None and self.status.leaving
         )
 
     @property
     def is_regressed(self) -> bool:
-        """Whether it lost what it was counted with, and so makes no majority."""
-        return self.confirmed_log.is_lost
+        """Whether it lost confirmed log entries, and so counts in no majority."""
+        return self.confirmed_log.is_regressed
 
     @property
     def counts_in_majority(self) -> bool:
-        """Whether it answered the latest poll and may count in a majority."""
+        """Whether it replied to the latest poll and may count in a majority."""
         return self.is_reachable and not self.is_regressed
 
     @property
     def is_slow(self) -> bool:
-        """Whether each answer to a poll was slow for `slow_after_s`."""
-        if self.slow_since_s is None or self.slow_poll_count < MINIMUM_SLOW_ANSWERS:
+        """Whether all polls have been slow for `slow_after_s`."""
+        if self.slow_since_s is None or self.slow_poll_count < MINIMUM_SLOW_POLLS:
             return False
-        lasted_s = (self.answered_at_s or 0.0) - self.slow_since_s
-        return lasted_s >= self.section.slow_after_s
+        slow_for_s = (self.answered_at_s or 0.0) - self.slow_since_s
+        return slow_for_s >= self.section.slow_after_s
 
     @property
     def is_fast(self) -> bool:
-        """Whether its latest answer to a poll was well below the limit."""
-        limit_s = FAST_SHARE * self.section.slow_answer_s
+        """Whether its latest poll was well below the limit for slow ones."""
+        limit_s = FAST_POLL_FRACTION * self.section.slow_answer_s
         return self.poll_time_s is not None and self.poll_time_s <= limit_s
 
     @property
@@ -175,7 +175,7 @@
         return max(self.status.term, self.status.fenced_term)
 
     def is_primary_in(self, term: int) -> bool:
-        """Tell whether it is primary in a term and granted no higher one.
+        """Return whether it is primary in a term and granted no higher one.
 
         Args:
             term: The term.
@@ -186,7 +186,7 @@
         return self.has_role(Role.PRIMARY, term)
 
     def is_following(self, term: int) -> bool:
-        """Tell whether it is a replica of a term's primary and granted no higher one.
+        """Return whether it is a replica in a term and granted no higher one.
 
         Args:
             term: The term.
@@ -197,7 +197,7 @@
         return self.has_role(Role.REPLICA, term)
 
     def has_role(self, role: Role, term: int) -> bool:
-        """Tell whether it has a role in a term and granted no higher one.
+        """Return whether it has a role in a term and granted no higher one.
 
         Args:
             role: The role.
@@ -220,24 +220,24 @@
         wait_s: float = 0.0,
         received: bool = False,
     ) -> UpstreamStatus:
-        """Ask for the status, at once or when a position is reached.
+        """Query the status, immediately or once a position is reached.
 
-        Callers of a plain poll share one that has not been sent yet, so that the
-        answer always tells of a moment after the call.
+        Concurrent plain polls share only a poll that has not been sent yet, so that
+        the status is never older than the call.
 
         Args:
             position: Position to wait for.
-            wait_s: Seconds to wait for it at most; 0 for a plain poll.
-            received: Wait for the received rather than the applied position.
+            wait_s: Longest time to wait for it, in seconds; 0 for a plain poll.
+            received: Whether to wait for the received instead of the applied position.
 
         Returns:
-            The status; the position may not be reached if the time was over.
+            The status; after a timeout it may be short of the position.
 
         Raises:
-            UpstreamLostError: If the upstream does not answer.
+            UpstreamLostError: If the upstream does not reply.
         """
         if wait_s > 0:
-            status = await self.waits.wait(position, wait_s, received)
+            status = await self.position_waits.wait(position, wait_s, received)
             if status is not None:
                 return status
         return await asyncio.shield(self.start_poll())
@@ -246,7 +246,7 @@
         """Start a plain poll, or join one that has not been sent yet.
 
         Returns:
-            The poll, which others may share: it is waited for, never cancelled.
+            The poll. Others may share it, so it must not be cancelled.
         """
         if self.next_poll is None:
             self.next_poll = asyncio.create_task(self.run_poll())
@@ -255,13 +255,13 @@
         return self.next_poll
 
     def finish_poll(self, poll: asyncio.Task[UpstreamStatus]) -> None:
-        """Forget a poll that ended; marks its error as seen."""
+        """Discard a finished poll and mark its error as retrieved."""
         self.polls.discard(poll)
         if not poll.cancelled():
             poll.exception()
 
     async def run_poll(self) -> UpstreamStatus:
-        """Send one plain poll once the one before it is answered."""
+        """Send a plain poll once the previous one has finished."""
         timeout_s = self.section.suspect_after_s
         async with self.control.lock:
             self.next_poll = None
@@ -273,19 +273,19 @@
                     self.record_poll_failure(error, now_s() - started_s - timeout_s)
                 raise
         self.record_poll_time(now_s() - started_s)
-        self.waits.settle(status)
+        self.position_waits.resolve_reached(status)
         self.record_status(status, started_s)
         return status
 
-    def record_poll_time(self, answer_s: float) -> None:
-        """Keep how long a plain poll took; one answer in time ends a slow row.
+    def record_poll_time(self, duration_s: float) -> None:
+        """Record the duration of a plain poll; one in time ends a series of slow polls.
 
         Args:
-            answer_s: Seconds from sending it to its answer.
+            duration_s: Seconds between the poll and its reply.
         """
-        self.poll_time_s = answer_s
+        self.poll_time_s = duration_s
         limit_s = self.section.slow_answer_s
-        if not limit_s or answer_s <= limit_s:
+        if not limit_s or duration_s <= limit_s:
             self.slow_since_s = None
             self.slow_poll_count = 0
             return
@@ -293,63 +293,63 @@
         self.slow_poll_count += 1
 
     async def query_status(self, deadline_s: float) -> UpstreamStatus:
-        """Poll over the control connection, on a new one if the old one broke.
+        """Poll over the control connection, reconnecting once if it was broken.
 
         Args:
-            deadline_s: Monotonic time at which it is given up.
+            deadline_s: Monotonic time at which the poll times out.
 
         Returns:
             The status.
 
         Raises:
-            UpstreamLostError: If no valid answer came.
+            UpstreamLostError: If no valid reply arrived.
         """
         sql = self.contract.build_poll(LOG_START, 0)
         was_open = self.control.connection is not None
         try:
-            answer = await self.control.run(sql, deadline_s)
+            result = await self.control.run(sql, deadline_s)
         except UpstreamLostError:
             if not was_open or now_s() >= deadline_s:
                 raise
-            answer = await self.control.run(sql, deadline_s)
+            result = await self.control.run(sql, deadline_s)
         try:
-            return self.contract.parse_status(answer.rows[0])
+            return self.contract.parse_status(result.rows[0])
         except ValueError as error:
-            raise UpstreamLostError(f"the status can't be read: {error}") from error
+            raise UpstreamLostError(f"cannot parse the status: {error}") from error
 
     async def call(self, sql: str, timeout_s: float) -> QueryResult:
-        """Run a control query; never sent twice.
+        """Run a control query, which is never sent twice.
 
         Args:
-            sql: Statement that returns a row.
-            timeout_s: Seconds for the whole answer.
+            sql: Statement that returns one row.
+            timeout_s: Seconds for the whole call.
 
         Returns:
-            The answer, with a row.
+            The result, which has at least one row.
 
         Raises:
-            UpstreamLostError: If no answer came or the upstream answered an error.
+            UpstreamLostError: If no result arrived or the upstream reported an error.
         """
         return await self.control.query(sql, timeout_s)
 
-    def record_status(self, status: UpstreamStatus, asked_at_s: float) -> None:
-        """Keep an answer and tell the group.
+    def record_status(self, status: UpstreamStatus, poll_sent_at_s: float) -> None:
+        """Store a status and notify the group.
 
-        Two connections may answer in another order than they were asked. An answer
-        of a lower term is dropped if it was asked for before the present one came.
+        Replies on two connections may arrive out of order. A status of a lower term
+        is dropped if its poll was sent before the current status arrived.
 
         Args:
-            status: The answer.
-            asked_at_s: Monotonic time at which it was asked for.
+            status: The status.
+            poll_sent_at_s: Monotonic time at which its poll was sent.
         """
         if (
             self.status is not None
             and status.term < self.status.term
-            and asked_at_s <= (self.answered_at_s or 0.0)
+            and poll_sent_at_s <= (self.answered_at_s or 0.0)
         ):
             return
         self.status = status
-        self.asked_at_s = asked_at_s
+        self.poll_sent_at_s = poll_sent_at_s
         self.answered_at_s = now_s()
         self.lost_at_s = None
         self.refuses_connections = False
@@ -357,11 +357,11 @@
         self.on_status(self)
 
     def record_poll_failure(self, error: UpstreamLostError, late_s: float) -> None:
-        """Note that the upstream did not answer, unless this process was paused.
+        """Record that a poll failed, unless this process was paused.
 
         Args:
-            error: What happened.
-            late_s: Seconds by which this process noticed a timeout too late.
+            error: The error of the poll.
+            late_s: Seconds between the timeout and the moment this process noticed it.
         """
         if late_s > PAUSE_LIMIT_S:
             return
@@ -371,10 +371,10 @@
         self.update_state(is_lost=True)
 
     def update_summary(self) -> bool:
-        """Keep what decisions depend on; tell whether it changed.
+        """Update the summary on which decisions depend; return whether it changed.
 
         Returns:
-            Whether role, term, grants or leaving differ from the last call.
+            Whether role, term, granted term or leaving differ from the last call.
         """
         status = self.status
         if status is None:
@@ -386,28 +386,28 @@
         return True
 
     def apply_section(self, section: GroupSection) -> None:
-        """Take over a changed section of the group.
+        """Apply a changed section of the group.
 
         Args:
-            section: The section; address and name of this upstream are the same.
+            section: The section; name and address of this upstream are unchanged.
         """
         self.section = section
         self.pool.section = section
         self.control.section = section
-        self.waits.control.section = section
-        self.waits.answer_timeout_s = section.suspect_after_s
+        self.position_waits.control.section = section
+        self.position_waits.answer_timeout_s = section.suspect_after_s
 
     def set_leaving(self, leaving: bool) -> None:
         """Mark it as leaving or not.
 
         Args:
-            leaving: What the document or the VM list says.
+            leaving: Whether the document or the VM list says that it is leaving.
         """
         self.is_marked_leaving = leaving
         self.update_state(is_lost=self.state == "lost")
 
     def update_state(self, is_lost: bool) -> None:
-        """Move to the state that fits; tells the group of a change.
+        """Move to the matching state and notify the group of a change.
 
         Args:
             is_lost: Whether the latest poll failed.
@@ -429,13 +429,13 @@
         """Set this proxy's share of the upstream's connections.
 
         Args:
-            limit: Connections of this proxy in all, those for control included.
+            limit: Number of connections of this proxy, including control connections.
         """
         self.connection_limit = limit
         self.pool.resize(self.compute_pool_limit())
 
     def compute_pool_limit(self) -> int:
-        """Return how many connections are left for callers' transactions."""
+        """Return the number of connections available to callers' transactions."""
         is_primary = self.status is not None and self.status.role is Role.PRIMARY
         control = (
             PRIMARY_CONTROL_CONNECTIONS if is_primary else REPLICA_CONTROL_CONNECTIONS
@@ -443,5 +443,5 @@
         return max(1, self.connection_limit - control)
 
 
-def ignore(upstream: Upstream) -> None:
-    """Do nothing: the listener of an upstream that has no group."""
+def do_nothing(upstream: Upstream) -> None:
+    """Do nothing; the default callback of an upstream without a group."""
--- a/ebonyrack/upstreams/upstream_test.py
+++ b/ebonyrack/upstreams/upstream_test.py
@@ -14,7 +14,7 @@
 
 
 class CountingControl(ControlConnection):
-    """Notes the queries that it makes."""
+    """Records the queries that it runs."""
 
     def __init__(self, address, section):
         super().__init__(address, section)
@@ -38,7 +38,7 @@
         yield upstream
 
 
-async def test_callers_share_a_poll_that_is_not_sent_yet(upstream):
+async def test_concurrent_calls_share_a_poll_that_is_not_sent_yet(upstream):
     sent = []
     query_status = upstream.query_status
 
@@ -50,33 +50,35 @@
     first = asyncio.create_task(upstream.poll())
     while not sent:
         await asyncio.sleep(0)
-    # The first is in flight: its answer may tell of a moment before these calls.
+    # The first poll is in flight: its status may be older than these calls.
     await asyncio.gather(*(upstream.poll() for _ in range(5)))
     await first
     assert len(sent) == 2
 
 
-async def test_one_call_settles_every_wait_that_it_covers(standins):
+async def test_one_call_resolves_every_wait_that_it_covers(standins):
     section = standins.section()
     async with Upstream(section.upstreams[1], section, 6) as replica:
-        replica.waits.control = CountingControl(replica.spec.address, section)
+        replica.position_waits.control = CountingControl(replica.spec.address, section)
         waits = [
             asyncio.create_task(replica.poll(LogPosition(1, 1), 5.0, received=True))
             for _ in range(10)
         ]
-        answers = await asyncio.gather(*waits)
-        assert len(replica.waits.control.calls) == 1
-        assert all(answer.received == LogPosition(1, 1) for answer in answers)
+        statuses = await asyncio.gather(*waits)
+        assert len(replica.position_waits.control.calls) == 1
+        assert all(status.received == LogPosition(1, 1) for status in statuses)
 
 
-async def test_wait_that_is_over_answers_the_present_status(standins):
+async def test_wait_that_times_out_returns_the_current_status(standins):
     section = standins.section()
     async with Upstream(section.upstreams[1], section, 6) as replica:
         status = await replica.poll(LogPosition(1, 99), 0.05)
         assert status.applied == LogPosition(1, 1)
 
 
-async def test_refused_upstream_is_lost_and_comes_back(standins, upstream):
+async def test_upstream_is_lost_when_connections_are_refused_and_recovers(
+    standins, upstream
+):
     await upstream.poll()
     assert upstream.state == "answering"
     await standins.kill("up-1")
@@ -88,27 +90,27 @@
     assert upstream.state == "answering"
 
 
-async def test_a_timeout_noticed_late_is_not_held_against_the_upstream(upstream):
+async def test_timeout_noticed_late_does_not_mark_the_upstream_lost(upstream):
     await upstream.poll()
-    upstream.record_poll_failure(UpstreamLostError("no answer"), PAUSE_LIMIT_S * 2)
+    upstream.record_poll_failure(UpstreamLostError("no reply"), PAUSE_LIMIT_S * 2)
     assert upstream.state == "answering"
-    upstream.record_poll_failure(UpstreamLostError("no answer"), 0.0)
+    upstream.record_poll_failure(UpstreamLostError("no reply"), 0.0)
     assert upstream.state == "lost"
 
 
-async def test_late_answer_of_a_lower_term_is_dropped(upstream):
+async def test_late_status_of_a_lower_term_is_dropped(upstream):
     old = await upstream.poll()
-    asked_at_s = now_s()
+    poll_sent_at_s = now_s()
     promoted = replace(old, term=7, fenced_term=7)
     upstream.record_status(promoted, now_s())
-    upstream.record_status(replace(old, role=Role.REPLICA), asked_at_s)
+    upstream.record_status(replace(old, role=Role.REPLICA), poll_sent_at_s)
     assert upstream.status == promoted
-    # An answer asked for later counts: the upstream was set up anew.
+    # A status polled for later is accepted: the upstream was set up again.
     upstream.record_status(old, now_s())
     assert upstream.status == old
 
 
-async def test_upstream_without_a_connection_to_spare_is_not_lost(standins):
+async def test_upstream_that_rejects_a_connection_over_its_limit_is_not_lost(standins):
     standins["up-1"].options.connection_limit = 1
     section = standins.section()
     async with Upstream(section.upstreams[0], section, 6) as first:
