--- a/ebonyrack/platform/__init__.py
+++ b/ebonyrack/platform/__init__.py
@@ -1,1 +1,1 @@
-"""Adapter to the users' platform: names, formats and calls; it decides nothing."""
+"""Adapter to the users' platform: names, formats and calls, without any decisions."""
--- a/ebonyrack/platform/caller_codec.py
+++ b/ebonyrack/platform/caller_codec.py
@@ -1,4 +1,4 @@
-"""The line protocol towards callers."""
+"""The caller side of the line protocol."""
 
 from __future__ import annotations
 
@@ -26,18 +26,18 @@
 
 Parse = Callable[[bytes, bytes], Request | None]
 
-# From the first word of a statement to what reads the rest of it.
+# Parser of a statement by its first word.
 STATEMENTS: Registry[Parse] = Registry("statement")
 
 PREPARED_KINDS = {b"READ": False, b"WRITE": True}
-# The words in a line of the protocol; the last field may hold blanks.
+# Number of fields in a line of the protocol; the last field may contain spaces.
 STARTUP_FIELDS = 3
 QUERY_FIELDS = 3
 
 
 @CALLER_CODECS.register("lines")
 class LineCallerCodec:
-    """Reads requests and writes answers, a line each."""
+    """Reads requests and encodes responses, one line each."""
 
     __slots__ = ()
 
@@ -48,18 +48,18 @@
             stream: The caller's connection.
 
         Returns:
-            The name, or what is wrong with the message.
+            The name, or why the message is invalid.
 
         Raises:
-            StreamLostError: If the caller has gone.
+            StreamLostError: If the caller has disconnected.
         """
         try:
-            words = (await stream.read_line()).split(b" ", STARTUP_FIELDS - 1)
+            fields = (await stream.read_line()).split(b" ", STARTUP_FIELDS - 1)
         except LineTooLongError:
             return Err(BadRequest(NO_VALUE, "the message is too long", True))
-        if len(words) != STARTUP_FIELDS or words[0] != b"STARTUP" or not words[1]:
+        if len(fields) != STARTUP_FIELDS or fields[0] != b"STARTUP" or not fields[1]:
             return Err(BadRequest(NO_VALUE, "not a startup message", True))
-        return Ok(words[1])
+        return Ok(fields[1])
 
     async def read_request(
         self, stream: LineStream
@@ -70,10 +70,10 @@
             stream: The caller's connection.
 
         Returns:
-            The request, None at the end of the session, or what is wrong with it.
+            The request, None at the end of the session, or why it is invalid.
 
         Raises:
-            StreamLostError: If the caller has gone.
+            StreamLostError: If the caller has disconnected.
         """
         try:
             line = await stream.read_line()
@@ -81,21 +81,21 @@
             return Err(BadRequest(NO_VALUE, "the message is too long", True))
         if line == b"TERMINATE":
             return Ok(None)
-        words = line.split(b" ", QUERY_FIELDS - 1)
-        if len(words) != QUERY_FIELDS or words[0] != b"QUERY" or not words[1]:
+        fields = line.split(b" ", QUERY_FIELDS - 1)
+        if len(fields) != QUERY_FIELDS or fields[0] != b"QUERY" or not fields[1]:
             return Err(BadRequest(NO_VALUE, "not a query message"))
-        return parse_statement(words[1], words[2])
+        return parse_statement(fields[1], fields[2])
 
     def encode_started(self) -> bytes:
-        """Return the answer to a session that was opened."""
+        """Return the response to a session that was opened."""
         return encode_ready(TransactionState.IDLE)
 
     def encode_refusal(self, error: RequestError) -> bytes:
-        """Return the answer to a session that is not opened."""
+        """Return the response to a session that is rejected."""
         return encode_error(error)
 
     def encode_answer(self, answer: Answer) -> bytes:
-        """Return the answer to a request."""
+        """Return the response to a request."""
         parts = [b"DATAROW %b\r\n" % row for row in answer.rows]
         if answer.error is not None:
             parts.append(encode_error(answer.error))
@@ -106,12 +106,12 @@
 
 
 def encode_ready(state: TransactionState) -> bytes:
-    """Return the end of an answer; callers need no position."""
+    """Return the end of a response; callers need no position."""
     return b"READY %b %b\r\n" % (STATE_CODES[state], NO_VALUE)
 
 
 def encode_error(error: RequestError) -> bytes:
-    """Return an error with what happened and when to come back."""
+    """Return an error with its reason and its retry-after, if any."""
     text = error.reason or ERROR_ANSWERS[error.kind].text
     if error.retry_after_s is not None:
         text = f"{text}; retry after {round(error.retry_after_s * 1000)} ms"
@@ -120,26 +120,26 @@
 
 
 def parse_statement(request_id: bytes, text: bytes) -> Result[Request, BadRequest]:
-    """Read the text of a statement.
+    """Parse the text of a statement.
 
     Args:
-        request_id: The caller's id.
+        request_id: The caller's id of the request.
         text: The statement.
 
     Returns:
-        The request, or what is wrong with it.
+        The request, or why it is invalid.
     """
     word = text.partition(b" ")[0].decode("ascii", "replace")
     parse = STATEMENTS.entries.get(word)
     request = parse(request_id, text) if parse is not None else None
     if request is None or request_id == NO_VALUE:
-        return Err(BadRequest(request_id, "the statement is not known"))
+        return Err(BadRequest(request_id, "unknown or malformed statement"))
     return Ok(request)
 
 
 @STATEMENTS.register("BEGIN")
 def parse_begin(request_id: bytes, text: bytes) -> Request | None:
-    """Read `BEGIN` or `BEGIN READ`."""
+    """Parse `BEGIN` or `BEGIN READ`."""
     kinds = {
         b"BEGIN": RequestKind.BEGIN,
         b"BEGIN READ": RequestKind.BEGIN_READ_ONLY,
@@ -150,7 +150,7 @@
 
 @STATEMENTS.register("COMMIT")
 def parse_commit(request_id: bytes, text: bytes) -> Request | None:
-    """Read `COMMIT`."""
+    """Parse `COMMIT`."""
     if text != b"COMMIT":
         return None
     return Request(RequestKind.COMMIT, request_id, text)
@@ -158,7 +158,7 @@
 
 @STATEMENTS.register("ROLLBACK")
 def parse_rollback(request_id: bytes, text: bytes) -> Request | None:
-    """Read `ROLLBACK`."""
+    """Parse `ROLLBACK`."""
     if text != b"ROLLBACK":
         return None
     return Request(RequestKind.ROLLBACK, request_id, text)
@@ -166,54 +166,54 @@
 
 @STATEMENTS.register("READ")
 def parse_read(request_id: bytes, text: bytes) -> Request | None:
-    """Read `READ item`."""
-    words = text.split(b" ")
-    if len(words) != 2 or not words[1]:
+    """Parse `READ item`."""
+    fields = text.split(b" ")
+    if len(fields) != 2 or not fields[1]:
         return None
     return Request(RequestKind.READ, request_id, text)
 
 
 @STATEMENTS.register("WRITE")
 def parse_write(request_id: bytes, text: bytes) -> Request | None:
-    """Read `WRITE item data`."""
-    words = text.split(b" ", 2)
-    if len(words) != 3 or not words[1]:
+    """Parse `WRITE item data`."""
+    fields = text.split(b" ", 2)
+    if len(fields) != 3 or not fields[1]:
         return None
     return Request(RequestKind.WRITE, request_id, text)
 
 
 @STATEMENTS.register("SET")
 def parse_set(request_id: bytes, text: bytes) -> Request | None:
-    """Read `SET name value`."""
-    words = text.split(b" ", 2)
-    if len(words) != 3 or not words[1]:
+    """Parse `SET name value`."""
+    fields = text.split(b" ", 2)
+    if len(fields) != 3 or not fields[1]:
         return None
-    return Request(RequestKind.SET, request_id, text, words[1], words[2])
+    return Request(RequestKind.SET, request_id, text, fields[1], fields[2])
 
 
 @STATEMENTS.register("PREPARE")
 def parse_prepare(request_id: bytes, text: bytes) -> Request | None:
-    """Read `PREPARE name READ|WRITE shape`."""
-    words = text.split(b" ", 3)
-    if len(words) != 4 or not words[1] or words[2] not in PREPARED_KINDS:
+    """Parse `PREPARE name READ|WRITE shape`."""
+    fields = text.split(b" ", 3)
+    if len(fields) != 4 or not fields[1] or fields[2] not in PREPARED_KINDS:
         return None
-    writes = PREPARED_KINDS[words[2]]
-    return Request(RequestKind.PREPARE, request_id, text, words[1], words[3], writes)
+    writes = PREPARED_KINDS[fields[2]]
+    return Request(RequestKind.PREPARE, request_id, text, fields[1], fields[3], writes)
 
 
 @STATEMENTS.register("EXECUTE")
 def parse_execute(request_id: bytes, text: bytes) -> Request | None:
-    """Read `EXECUTE name item [data]`."""
-    words = text.split(b" ", 2)
-    if len(words) != 3 or not words[1] or not words[2]:
+    """Parse `EXECUTE name item [data]`."""
+    fields = text.split(b" ", 2)
+    if len(fields) != 3 or not fields[1] or not fields[2]:
         return None
-    return Request(RequestKind.EXECUTE, request_id, text, words[1], words[2])
+    return Request(RequestKind.EXECUTE, request_id, text, fields[1], fields[2])
 
 
 @STATEMENTS.register("CLOSE")
 def parse_close(request_id: bytes, text: bytes) -> Request | None:
-    """Read `CLOSE name`."""
-    words = text.split(b" ")
-    if len(words) != 2 or not words[1]:
+    """Parse `CLOSE name`."""
+    fields = text.split(b" ")
+    if len(fields) != 2 or not fields[1]:
         return None
-    return Request(RequestKind.CLOSE, request_id, text, words[1])
+    return Request(RequestKind.CLOSE, request_id, text, fields[1])
--- a/ebonyrack/platform/caller_codec_test.py
+++ b/ebonyrack/platform/caller_codec_test.py
@@ -36,14 +36,14 @@
         (b"CLOSE s1", RequestKind.CLOSE),
     ],
 )
-def test_statements_keep_their_text(text, kind):
+def test_statement_keeps_its_text(text, kind):
     request = parse_statement(b"7", text).ok_value
     assert request.kind is kind
     assert request.request_id == b"7"
     assert request.text == text
 
 
-def test_fields_of_statements():
+def test_statement_fields_are_parsed():
     prepare = parse_statement(b"7", b"PREPARE s1 WRITE q2c").ok_value
     assert (prepare.name, prepare.argument, prepare.writes) == (b"s1", b"q2c", True)
     execute = parse_statement(b"7", b"EXECUTE s1 1a4 a b").ok_value
@@ -73,57 +73,57 @@
         b"begin",
     ],
 )
-def test_what_callers_may_not_send_is_refused(text):
+def test_statements_not_allowed_to_callers_are_rejected(text):
     assert isinstance(parse_statement(b"7", text), Err)
 
 
-def test_callers_may_not_use_the_proxys_own_id():
+def test_placeholder_for_a_missing_id_is_rejected_as_request_id():
     assert isinstance(parse_statement(b"-", b"READ a"), Err)
 
 
 @given(st.binary(max_size=300))
-def test_any_bytes_are_requests_refusals_or_the_end(data):
+def test_arbitrary_bytes_give_requests_errors_or_the_end(data):
     stream = LineStream()
     stream.buffer += data
     stream.mark_lost("ended")
 
     async def read_all():
         for _ in range(len(data) + 1):
-            found = await CODEC.read_request(stream)
-            assert isinstance(found, Ok | Err)
-            if isinstance(found, Ok):
-                assert found.ok_value is None or isinstance(found.ok_value, Request)
+            result = await CODEC.read_request(stream)
+            assert isinstance(result, Ok | Err)
+            if isinstance(result, Ok):
+                assert result.ok_value is None or isinstance(result.ok_value, Request)
 
     with pytest.raises(StreamLostError):
         asyncio.run(read_all())
 
 
 @given(st.binary(max_size=100))
-def test_any_bytes_at_the_start_are_a_name_or_a_refusal(data):
+def test_arbitrary_startup_bytes_give_a_name_or_an_error(data):
     stream = LineStream()
     stream.buffer += data + b"\n"
     stream.mark_lost("ended")
-    found = asyncio.run(CODEC.read_startup(stream))
-    assert isinstance(found, Ok | Err)
+    result = asyncio.run(CODEC.read_startup(stream))
+    assert isinstance(result, Ok | Err)
 
 
-def test_an_answer_with_rows():
-    answer = Answer(TransactionState.OPEN, [b"one", b"two"], b"sig")
-    assert CODEC.encode_answer(answer) == (
+def test_response_with_rows_is_encoded():
+    response = Answer(TransactionState.OPEN, [b"one", b"two"], b"sig")
+    assert CODEC.encode_answer(response) == (
         b"DATAROW one\r\nDATAROW two\r\nCOMPLETE sig\r\nREADY T -\r\n"
     )
 
 
-def test_a_refusal_says_when_to_come_back_in_one_line():
+def test_error_with_retry_after_is_encoded_in_one_line():
     error = RequestError(ErrorKind.NO_PRIMARY, "gone\r\nREADY I -", 0.25)
-    answer = CODEC.encode_answer(Answer(TransactionState.IDLE, error=error))
-    assert answer.count(b"\r\n") == 2
-    assert answer.startswith(b"ERROR BUSY gone")
-    assert b"retry after 250 ms" in answer
+    response = CODEC.encode_answer(Answer(TransactionState.IDLE, error=error))
+    assert response.count(b"\r\n") == 2
+    assert response.startswith(b"ERROR BUSY gone")
+    assert b"retry after 250 ms" in response
 
 
-def test_every_kind_that_sessions_raise_has_a_word():
-    foreign = {
+def test_every_error_kind_of_sessions_has_a_code():
+    not_raised_by_sessions = {
         ErrorKind.BAD_TOKEN,
         ErrorKind.UNSUPPORTED,
         ErrorKind.AUTHENTICATION_FAILED,
@@ -132,4 +132,4 @@
         ErrorKind.ALREADY_RAN,
         ErrorKind.CANCELLED,
     }
-    assert set(ERROR_CODES) == set(ErrorKind) - foreign
+    assert set(ERROR_CODES) == set(ErrorKind) - not_raised_by_sessions
--- a/ebonyrack/platform/conftest.py
+++ b/ebonyrack/platform/conftest.py
@@ -1,4 +1,4 @@
-"""Fixtures: streams that are filled by a test."""
+"""Fixtures: streams whose input is given by a test."""
 
 import asyncio
 from collections.abc import Callable
@@ -9,20 +9,20 @@
 
 
 class FakeTransport(asyncio.Transport):
-    """Keeps what is written."""
+    """Records the bytes that are written."""
 
     def __init__(self) -> None:
         super().__init__()
         self.sent = b""
 
     def write(self, data: bytes | bytearray | memoryview) -> None:
-        """Keep bytes."""
+        """Record bytes."""
         self.sent += bytes(data)
 
     def set_write_buffer_limits(
         self, high: int | None = None, low: int | None = None
     ) -> None:
-        """Take any limit."""
+        """Accept any limit."""
 
     def abort(self) -> None:
         """Do nothing."""
@@ -33,7 +33,7 @@
 
 @pytest.fixture
 def feed() -> Callable[[bytes], LineStream]:
-    """Return a function that builds a stream that holds bytes and has ended."""
+    """Return a function that builds an ended stream with the given bytes buffered."""
 
     def build(data: bytes) -> LineStream:
         stream = LineStream()
--- a/ebonyrack/platform/documents_test.py
+++ b/ebonyrack/platform/documents_test.py
@@ -1,4 +1,4 @@
-"""Settings, entries and routes as the platform writes them."""
+"""Decoding of settings, member entries and routes in the platform's formats."""
 
 import json
 
@@ -43,27 +43,27 @@
     return StoreItem("servers/i-7f", value, 12, 10)
 
 
-def test_settings():
+def test_settings_are_parsed():
     settings = parse_settings(SETTINGS, "boot.conf").ok_value
     assert settings.name == "front-bkk-a-1"
     assert settings.caller_address == Address("10.1.0.8", 8784)
     assert settings.grace_s == 6.0
 
 
-def test_every_fault_of_the_settings_is_named_at_once():
+def test_all_configuration_errors_are_reported_together():
     text = SETTINGS.replace("graceS=6", "graceS=soon").replace("nodeName=", "name=")
     text += "no equals sign\n"
-    faults = parse_settings(text, "boot.conf").err_value
-    assert {fault.key for fault in faults} == {"nodeName", "bounds.graceS", "line 11"}
+    errors = parse_settings(text, "boot.conf").err_value
+    assert {error.key for error in errors} == {"nodeName", "bounds.graceS", "line 11"}
 
 
 @pytest.mark.parametrize("value", ["0", "-1", "inf", "nan", ""])
-def test_times_must_be_above_zero(value):
+def test_duration_must_be_finite_and_above_zero(value):
     text = SETTINGS.replace("graceS=6", f"graceS={value}")
     assert isinstance(parse_settings(text, "boot.conf"), Err)
 
 
-def test_an_entry():
+def test_entry_is_decoded():
     entry = decode_entry(build_item(json.dumps(ENTRY).encode())).ok_value
     assert entry.member_id == "i-7f"
     assert entry.group == "scheduling"
@@ -88,18 +88,18 @@
         {"phase": ["ready"]},
     ],
 )
-def test_an_entry_with_a_bad_field_names_no_upstream(changes):
+def test_entry_with_an_invalid_field_is_rejected(changes):
     item = build_item(json.dumps({**ENTRY, **changes}).encode())
     assert isinstance(decode_entry(item), Err)
 
 
 @pytest.mark.parametrize("value", [b"", b"\xff", b"[]", b"7", b"null", b'"text"'])
-def test_bytes_that_are_no_entry(value):
+def test_malformed_bytes_are_rejected(value):
     assert isinstance(decode_entry(build_item(value)), Err)
     assert isinstance(decode_document(value), Err)
 
 
-def test_routes():
+def test_routes_are_decoded():
     document = build_document(7, booking={"unheard": 1})
     table = decode_document(json.dumps(document).encode()).ok_value
     assert table.version == 7
@@ -110,7 +110,7 @@
 
 
 @pytest.mark.parametrize("field", ["version", "routes", "services", "limits"])
-def test_routes_with_a_field_missing_are_refused(field):
+def test_routes_with_a_missing_field_are_rejected(field):
     document = build_document(7)
     del document[field]
     assert isinstance(decode_document(json.dumps(document).encode()), Err)
--- a/ebonyrack/platform/kv_store.py
+++ b/ebonyrack/platform/kv_store.py
@@ -1,4 +1,4 @@
-"""The platform's key-value store."""
+"""Client of the platform's key-value store."""
 
 from __future__ import annotations
 
@@ -25,14 +25,14 @@
 from ebonyrack.store.store_response import StoreError
 from ebonyrack.store.store_response import StoreErrorKind
 
-# The store answers in milliseconds; this covers one lost packet and a slow spell.
+# The store replies in milliseconds; this allows for one lost packet and some delay.
 CALL_TIMEOUT_S = 0.8
 MS_PER_S = 1000
 JSON_HEADERS = (("Content-Type", "application/json"),)
-OK = 200
-NOT_FOUND = 404
-HISTORY_GONE = 410
-CONDITION_FAILED = 412
+STATUS_OK = 200
+STATUS_NOT_FOUND = 404
+STATUS_HISTORY_LOST = 410
+STATUS_CONDITION_FAILED = 412
 
 
 class KvStore(Component):
@@ -40,7 +40,7 @@
 
     Attributes:
         client: HTTP connections to the store.
-        timeout_s: Seconds for the answer to a call that doesn't wait.
+        timeout_s: Timeout of a call that does not wait for a change, in seconds.
     """
 
     __slots__ = ("client", "timeout_s")
@@ -50,7 +50,7 @@
         self.timeout_s = timeout_s
 
     async def start(self) -> None:
-        """Prepare for HTTP connections; each is made when it is needed."""
+        """Start the HTTP client, which connects on demand."""
         await self.client.start()
 
     async def stop(self) -> None:
@@ -62,14 +62,15 @@
     ) -> Result[StoreChanges, StoreError]:
         """Read all keys with a prefix.
 
-        The pages are not a snapshot, so a watch goes on from the first of them.
+        The pages are no snapshot, so a watch must continue from the revision of the
+        first page.
 
         Args:
             prefix: Start of the keys.
-            allow_stale: Whether what the store held some seconds ago will do.
+            allow_stale: Whether the items may be some seconds old.
 
         Returns:
-            The items, or why they aren't known.
+            The items, or why they could not be read.
         """
         items: list[StoreItem] = []
         revision = 0
@@ -81,8 +82,8 @@
                 query["serializable"] = "1"
             if after:
                 query["after"] = after
-            answer = await self.get("range", "/kv-range", query)
-            body = answer.and_then(lambda found: read_body(found, (OK,)))
+            response = await self.get("range", "/kv-range", query)
+            body = response.and_then(lambda reply: read_body(reply, (STATUS_OK,)))
             if isinstance(body, Err):
                 return body
             try:
@@ -90,7 +91,7 @@
                 revision = revision or int(body.ok_value["currentRev"])
                 is_truncated = bool(body.ok_value["truncated"])
             except (ValueError, LookupError, TypeError) as error:
-                return Err(bad_answer(error))
+                return Err(build_bad_response_error(error))
             items += page
             if not is_truncated or not page:
                 return Ok(StoreChanges(tuple(items), (), revision, is_complete=True))
@@ -99,36 +100,36 @@
     async def watch_prefix(
         self, prefix: str, revision: int, wait_s: float
     ) -> Result[StoreChanges | None, StoreError]:
-        """Wait for changes.
+        """Wait for changes of keys with a prefix.
 
         Args:
             prefix: Start of the keys.
-            revision: Revision after which changes count.
-            wait_s: Seconds after which the store answers in any case.
+            revision: Revision after which changes are returned.
+            wait_s: Seconds after which the store replies even without a change.
 
         Returns:
-            The changes, None if their history is lost, or why they aren't known.
+            The changes, None if their history is lost, or why they could not be read.
         """
         query = {
             "prefix": prefix,
             "after": str(revision),
             "waitMs": str(round(wait_s * MS_PER_S)),
         }
-        answer = await self.get("watch", "/kv-watch", query, wait_s)
-        if isinstance(answer, Ok) and answer.ok_value.status == HISTORY_GONE:
+        response = await self.get("watch", "/kv-watch", query, wait_s)
+        if isinstance(response, Ok) and response.ok_value.status == STATUS_HISTORY_LOST:
             return Ok(None)
-        body = answer.and_then(lambda found: read_body(found, (OK,)))
+        body = response.and_then(lambda reply: read_body(reply, (STATUS_OK,)))
         return body.and_then(decode_changes)
 
     async def write(self, write: StoreWrite) -> Result[int | None, StoreError]:
-        """Write a key on a condition.
+        """Write a key if it is still at a revision.
 
         Args:
             write: The key, its value and the revision that it must have.
 
         Returns:
             The revision of the change, None if the condition did not hold, or why
-            that isn't known; the change may then be made even later.
+            the outcome is unknown; the change may then still be made later.
         """
         value = base64.b64encode(write.value).decode()
         return await self.transact(
@@ -147,26 +148,26 @@
             revision: Revision that it must have.
 
         Returns:
-            Whether it was deleted, or why that isn't known.
+            Whether it was deleted, or why the outcome is unknown.
         """
         expected = [{"key": key, "revision": revision}]
         body = {"expected": expected, "writes": [], "deletes": [key]}
-        return (await self.transact(body)).map(lambda found: found is not None)
+        return (await self.transact(body)).map(lambda result: result is not None)
 
     async def transact(self, body: dict[str, Any]) -> Result[int | None, StoreError]:
-        """Make a change on conditions; return its revision, None if they failed."""
-        answer = await self.post("txn", "/kv-txn", body)
-        # 404 says that the lease named has ended, so that nothing was written.
-        statuses = (OK, CONDITION_FAILED, NOT_FOUND)
-        found = answer.and_then(lambda reply: read_body(reply, statuses))
-        if isinstance(found, Err):
-            return found
-        if answer.unwrap().status != OK:
+        """Make a conditional change; return its revision, None if a condition fails."""
+        response = await self.post("txn", "/kv-txn", body)
+        # 404 means that the lease has ended, so that nothing was written.
+        statuses = (STATUS_OK, STATUS_CONDITION_FAILED, STATUS_NOT_FOUND)
+        result = response.and_then(lambda reply: read_body(reply, statuses))
+        if isinstance(result, Err):
+            return result
+        if response.unwrap().status != STATUS_OK:
             return Ok(None)
         try:
-            return Ok(int(found.ok_value["revision"]))
+            return Ok(int(result.ok_value["revision"]))
         except (ValueError, LookupError, TypeError) as error:
-            return Err(bad_answer(error))
+            return Err(build_bad_response_error(error))
 
     async def read_key(self, key: str) -> Result[StoreItem | None, StoreError]:
         """Read one key.
@@ -175,92 +176,98 @@
             key: The key.
 
         Returns:
-            The item, None if there is none, or why it isn't known.
+            The item, None if there is none, or why it could not be read.
         """
-        answer = await self.get("key", "/kv-key", {"key": key})
-        if isinstance(answer, Ok) and answer.ok_value.status == NOT_FOUND:
+        response = await self.get("key", "/kv-key", {"key": key})
+        if isinstance(response, Ok) and response.ok_value.status == STATUS_NOT_FOUND:
             return Ok(None)
-        body = answer.and_then(lambda found: read_body(found, (OK,)))
+        body = response.and_then(lambda reply: read_body(reply, (STATUS_OK,)))
         if isinstance(body, Err):
             return body
         try:
             return Ok(decode_item(body.ok_value))
         except (ValueError, LookupError, TypeError) as error:
-            return Err(bad_answer(error))
+            return Err(build_bad_response_error(error))
 
     async def grant_lease(self, ttl_s: float) -> Result[int, StoreError]:
-        """Start a lease.
+        """Create a lease.
 
         Args:
-            ttl_s: Seconds after which it ends without a renewal.
+            ttl_s: Seconds after which it expires without a renewal.
 
         Returns:
-            Its number, or why there is none.
+            Its id, or why there is none.
         """
         body = {"ttlMs": round(ttl_s * MS_PER_S)}
-        answer = await self.post("lease", "/kv-lease", body)
-        found = answer.and_then(lambda reply: read_body(reply, (OK,)))
-        if isinstance(found, Err):
-            return found
+        response = await self.post("lease", "/kv-lease", body)
+        result = response.and_then(lambda reply: read_body(reply, (STATUS_OK,)))
+        if isinstance(result, Err):
+            return result
         try:
-            return Ok(int(found.ok_value["lease"]))
+            return Ok(int(result.ok_value["lease"]))
         except (ValueError, LookupError, TypeError) as error:
-            return Err(bad_answer(error))
+            return Err(build_bad_response_error(error))
 
     async def renew_lease(self, lease: int) -> Result[bool, StoreError]:
         """Renew a lease.
 
         Args:
-            lease: Its number.
+            lease: Its id.
 
         Returns:
-            Whether it was still there, or why that isn't known.
+            Whether it still existed, or why the outcome is unknown.
         """
-        answer = await self.post("renew", f"/kv-keep/{lease}", {})
-        found = answer.and_then(lambda reply: read_body(reply, (OK, NOT_FOUND)))
-        return found.map(lambda body: answer.unwrap().status == OK)
+        response = await self.post("renew", f"/kv-keep/{lease}", {})
+        result = response.and_then(
+            lambda reply: read_body(reply, (STATUS_OK, STATUS_NOT_FOUND))
+        )
+        return result.map(lambda body: response.unwrap().status == STATUS_OK)
 
     async def get(
         self, kind: str, path: str, query: dict[str, str], wait_s: float = 0.0
     ) -> Result[HttpResponse, StoreError]:
-        """Make a reading call."""
+        """Make a GET call and count it."""
         metrics.store_calls.add(1, {"kind": kind})
         target = f"{path}?{urlencode(query)}"
-        call = HttpRequest("GET", target, timeout_s=self.timeout_s, wait_s=wait_s)
-        return await self.client.send(call)
+        request = HttpRequest("GET", target, timeout_s=self.timeout_s, wait_s=wait_s)
+        return await self.client.send(request)
 
     async def post(
         self, kind: str, path: str, body: dict[str, Any]
     ) -> Result[HttpResponse, StoreError]:
-        """Make a call with a body."""
+        """Make a POST call with a JSON body and count it."""
         metrics.store_calls.add(1, {"kind": kind})
         data = json.dumps(body).encode()
-        call = HttpRequest("POST", path, data, JSON_HEADERS, timeout_s=self.timeout_s)
-        return await self.client.send(call)
+        request = HttpRequest(
+            "POST", path, data, JSON_HEADERS, timeout_s=self.timeout_s
+        )
+        return await self.client.send(request)
 
 
 def read_body(
-    answer: HttpResponse, statuses: tuple[int, ...]
+    response: HttpResponse, statuses: tuple[int, ...]
 ) -> Result[dict[str, Any], StoreError]:
-    """Decode the body of an answer with one of some statuses.
+    """Decode the JSON body of a response with an expected status.
 
     Args:
-        answer: The answer.
-        statuses: Statuses that tell what became of the call.
+        response: The response.
+        statuses: Statuses that state the outcome of the call.
 
     Returns:
-        The decoded body, empty for an answer without one, or why it is none.
+        The decoded body, empty if the response has none, or an error.
     """
-    if answer.status not in statuses:
-        # 503, 429 and other refusals say that nothing was done.
-        reason = f"the store answered {answer.status}"
+    if response.status not in statuses:
+        # 503, 429 and other error statuses mean that nothing was done.
+        reason = f"the store replied with status {response.status}"
         return Err(StoreError(StoreErrorKind.REFUSED, reason))
     try:
-        body = json.loads(answer.body) if answer.body else {}
+        body = json.loads(response.body) if response.body else {}
     except ValueError as error:
-        return Err(bad_answer(error))
+        return Err(build_bad_response_error(error))
     if not isinstance(body, dict):
-        return Err(bad_answer(f"a {type(body).__name__} came"))
+        return Err(
+            build_bad_response_error(f"a {type(body).__name__} instead of an object")
+        )
     return Ok(body)
 
 
@@ -268,23 +275,23 @@
     """Decode one item.
 
     Raises:
-        ValueError, LookupError, TypeError: If it has another form.
+        ValueError, LookupError, TypeError: If it is malformed.
     """
     try:
         value = base64.b64decode(item["value"], validate=True)
     except binascii.Error as error:
-        raise ValueError(f"bad value: {error}") from error
+        raise ValueError(f"invalid value: {error}") from error
     return StoreItem(
         str(item["key"]), value, int(item["revision"]), int(item["createdRev"])
     )
 
 
 def decode_changes(body: dict[str, Any]) -> Result[StoreChanges | None, StoreError]:
-    """Decode what a watch brought."""
+    """Decode the result of a watch."""
     items: list[StoreItem] = []
     deleted: list[str] = []
     try:
-        # Later events of a key replace earlier ones.
+        # The last event of a key replaces its earlier ones.
         for event in body["events"]:
             key = str(event["key"])
             items = [item for item in items if item.key != key]
@@ -295,10 +302,10 @@
                 items.append(decode_item(event))
         revision = int(body["currentRev"])
     except (ValueError, LookupError, TypeError, AttributeError) as error:
-        return Err(bad_answer(error))
+        return Err(build_bad_response_error(error))
     return Ok(StoreChanges(tuple(items), tuple(deleted), revision))
 
 
-def bad_answer(error: object) -> StoreError:
-    """Build the error for an answer that can't be understood."""
-    return StoreError(StoreErrorKind.UNKNOWN, f"bad answer: {error!r}")
+def build_bad_response_error(error: object) -> StoreError:
+    """Build the error for a response that can't be decoded."""
+    return StoreError(StoreErrorKind.UNKNOWN, f"invalid response: {error!r}")
--- a/ebonyrack/platform/kv_store_test.py
+++ b/ebonyrack/platform/kv_store_test.py
@@ -33,7 +33,7 @@
     assert changes.is_complete
 
 
-async def test_only_reads_that_may_be_stale_are_asked_for_as_such(service, store):
+async def test_stale_read_is_requested_only_if_allowed(service, store):
     await service.put("servers/1", b"x")
     await store.read_prefix("servers/")
     assert service.stale_reads == 0
@@ -41,7 +41,7 @@
     assert service.stale_reads == 1
 
 
-async def test_a_watch_brings_the_last_state_of_each_key(service, store):
+async def test_watch_returns_the_last_state_of_each_key(service, store):
     revision = await service.put("a/1", b"old")
     await service.put("a/2", b"gone")
     await service.put("a/1", b"new")
@@ -52,7 +52,7 @@
     assert changes.revision == service.revision
 
 
-async def test_a_watch_waits_for_a_change(service, store):
+async def test_watch_waits_for_a_change(service, store):
     revision = await service.put("a/1", b"old")
     watch = asyncio.create_task(store.watch_prefix("a/", revision, 2.0))
     await asyncio.sleep(0.05)
@@ -60,7 +60,7 @@
     assert (await watch).ok_value.items[0].value == b"new"
 
 
-async def test_lost_history_is_told_apart(service, store):
+async def test_watch_reports_a_lost_history(service, store):
     revision = await service.put("a/1", b"old")
     await service.put("a/1", b"new")
     await service.drop_history()
@@ -77,32 +77,32 @@
     assert await store.read_key("k") == Ok(None)
 
 
-async def test_a_write_with_a_lease_that_ended_is_not_made(service, store):
+async def test_write_with_an_expired_lease_is_not_made(service, store):
     assert await store.write(StoreWrite("k", b"1", 999, 0)) == Ok(None)
     assert await store.renew_lease(999) == Ok(False)
 
 
 @pytest.mark.parametrize("status", [429, 503])
-async def test_a_refused_call_did_nothing(service, store, status):
+async def test_rejected_call_has_no_effect(service, store, status):
     service.faults.status = status
-    answer = await store.write(StoreWrite("k", b"1", 0, 0))
-    assert answer.err_value.kind is StoreErrorKind.REFUSED
+    response = await store.write(StoreWrite("k", b"1", 0, 0))
+    assert response.err_value.kind is StoreErrorKind.REFUSED
     assert "k" not in service.items
 
 
-async def test_a_lost_answer_leaves_the_outcome_open(service, store):
+async def test_lost_response_leaves_the_outcome_unknown(service, store):
     service.faults.lose_answers = 1
-    answer = await store.write(StoreWrite("k", b"1", 0, 0))
-    assert answer.err_value.kind is StoreErrorKind.UNKNOWN
+    response = await store.write(StoreWrite("k", b"1", 0, 0))
+    assert response.err_value.kind is StoreErrorKind.UNKNOWN
     assert "k" in service.items
 
 
-async def test_a_store_that_is_away_is_unreachable(service, store):
+async def test_stopped_store_gives_an_error(service, store):
     await service.stop()
     assert isinstance(await store.read_prefix(""), Err)
 
 
-async def test_one_proxy_at_a_time_has_the_duty_and_tokens_grow(service, store):
+async def test_promotion_lease_has_one_holder_and_increasing_tokens(service, store):
     first = await acquire_promotion_lease(store, "g", "proxy-1")
     assert await acquire_promotion_lease(store, "g", "proxy-2") is None
     assert first.is_held
@@ -111,15 +111,13 @@
     assert second.fencing_token > first.fencing_token
 
 
-async def test_the_duty_is_held_although_the_answer_was_lost(service, store):
+async def test_promotion_lease_is_held_although_the_response_was_lost(service, store):
     service.faults.lose_answers = 1
     lease = await acquire_promotion_lease(store, "g", "proxy-1")
     assert lease.fencing_token == service.items["ebonyrack/promotion/g"].revision
 
 
-async def test_the_duty_of_a_holder_that_died_ends_with_its_lease(
-    service, store, monkeypatch
-):
+async def test_promotion_lease_of_a_dead_holder_expires(service, store, monkeypatch):
     monkeypatch.setattr("ebonyrack.promotion.lease.LEASE_TTL_S", 0.2)
     monkeypatch.setattr("ebonyrack.promotion.lease.HOLD_LIMIT_S", 0.1)
     first = await acquire_promotion_lease(store, "g", "proxy-1")
--- a/ebonyrack/platform/line_protocol.py
+++ b/ebonyrack/platform/line_protocol.py
@@ -1,4 +1,4 @@
-"""Words of the line protocol that callers and upstreams speak."""
+"""Codes of the line protocol used by callers and upstreams."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from ebonyrack.requests.reply import TransactionState
 
 LINE_END = b"\r\n"
-# Stands for a missing id, signature or position.
+# Placeholder for a missing id, signature or position.
 NO_VALUE = b"-"
 
 STATE_CODES: dict[TransactionState, bytes] = {
@@ -15,7 +15,7 @@
     TransactionState.OPEN: b"T",
     TransactionState.FAILED: b"E",
 }
-STATES_BY_CODE = {letter: state for state, letter in STATE_CODES.items()}
+STATES_BY_CODE = {code: state for state, code in STATE_CODES.items()}
 
 REJECTIONS_BY_CODE: dict[bytes, RejectionKind] = {
     b"BUSY": RejectionKind.BUSY,
@@ -28,8 +28,8 @@
     b"TIMEOUT": RejectionKind.TIMED_OUT,
 }
 
-# BUSY and ABORTED promise the caller that nothing of its attempt is kept; the kinds
-# listed with them are raised only where that is so.
+# BUSY and ABORTED guarantee the caller that nothing of its attempt was kept; the kinds
+# mapped to them are raised only where this holds.
 ERROR_CODES: dict[ErrorKind, bytes] = {
     ErrorKind.QUEUE_FULL: b"BUSY",
     ErrorKind.WAIT_TOO_LONG: b"BUSY",
--- a/ebonyrack/platform/member_entries.py
+++ b/ebonyrack/platform/member_entries.py
@@ -1,4 +1,4 @@
-"""What upstreams write of themselves into the platform's store."""
+"""Decodes the entries that upstreams publish in the platform's store."""
 
 from __future__ import annotations
 
@@ -25,15 +25,15 @@
         item: The item of the store.
 
     Returns:
-        The entry, or why it names no upstream to use.
+        The entry, or why it can't be used.
     """
     try:
         body: Any = json.loads(item.value)
-        # Upstreams of older versions say nothing of their start.
+        # Upstreams of older versions don't publish their start time.
         started_at_ms = body.get("born", 0)
         slots = body["slots"]
         if type(started_at_ms) is not int or type(slots) is not int:
-            return Err("born and slots must be whole numbers")
+            return Err("born and slots must be integers")
         return Ok(
             MemberEntry(
                 member_id=item.key.removeprefix(PREFIX),
@@ -48,17 +48,17 @@
             )
         )
     except (ValueError, LookupError, TypeError, AttributeError) as error:
-        return Err(f"bad entry: {error!r}")
+        return Err(f"invalid entry: {error!r}")
 
 
 def read_text(body: dict[str, Any], name: str) -> str:
-    """Return a field that must be a text.
+    """Return a field that must be a string.
 
     Raises:
-        TypeError: If it is something else.
+        TypeError: If it is not a string.
         KeyError: If it is missing.
     """
     value = body[name]
     if not isinstance(value, str):
-        raise TypeError(f"{name} must be a text")
+        raise TypeError(f"{name} must be a string")
     return value
--- a/ebonyrack/platform/promotion_client.py
+++ b/ebonyrack/platform/promotion_client.py
@@ -1,4 +1,4 @@
-"""The platform's call that makes an upstream the primary of its group."""
+"""Client of the platform's endpoint that promotes an upstream to primary."""
 
 from __future__ import annotations
 
@@ -17,17 +17,17 @@
 from ebonyrack.store.http_client import HttpRequest
 from ebonyrack.store.store_response import StoreErrorKind
 
-# Orders are answered in milliseconds; after this one counts as unanswered.
+# Replies take milliseconds; after this time an order counts as unanswered.
 ORDER_TIMEOUT_S = 0.6
-ACCEPTED = 200
-REFUSED_BY_TOKEN = 409
+STATUS_ACCEPTED = 200
+STATUS_REJECTED_TOKEN = 409
 
 
 class PromotionClient(Component):
-    """Client of the promotion calls: an async context manager.
+    """Client of the promotion endpoint: an async context manager.
 
     Attributes:
-        client: HTTP connections.
+        client: HTTP connections to the platform.
     """
 
     __slots__ = ("client",)
@@ -36,7 +36,7 @@
         self.client = HttpClient(address, KEEPALIVE_OPTIONS)
 
     async def start(self) -> None:
-        """Prepare for HTTP connections."""
+        """Start the HTTP client, which connects on demand."""
         await self.client.start()
 
     async def stop(self) -> None:
@@ -44,13 +44,13 @@
         await self.client.stop()
 
     async def promote(self, order: PromotionOrder) -> Result[OrderOutcome, str]:
-        """Order that an upstream becomes the primary.
+        """Order the promotion of an upstream to primary.
 
         Args:
-            order: Group, upstream, holder and fencing token.
+            order: Group, upstream, lease holder and fencing token.
 
         Returns:
-            What became of the order, or why it is known that nothing did.
+            The outcome of the order, or why it is certain that it had no effect.
         """
         body = {"service": order.group, "id": order.member_id}
         headers = (
@@ -59,15 +59,15 @@
             ("X-Fencing-Token", str(order.fencing_token)),
         )
         data = json.dumps(body).encode()
-        call = HttpRequest("POST", "/promote", data, headers, ORDER_TIMEOUT_S)
-        answer = await self.client.send(call)
-        if isinstance(answer, Err):
-            if answer.err_value.kind is StoreErrorKind.UNREACHABLE:
-                return Err(answer.err_value.reason)
+        request = HttpRequest("POST", "/promote", data, headers, ORDER_TIMEOUT_S)
+        response = await self.client.send(request)
+        if isinstance(response, Err):
+            if response.err_value.kind is StoreErrorKind.UNREACHABLE:
+                return Err(response.err_value.reason)
             return Ok(OrderOutcome.UNANSWERED)
-        status = answer.ok_value.status
-        if status == ACCEPTED:
+        status = response.ok_value.status
+        if status == STATUS_ACCEPTED:
             return Ok(OrderOutcome.ACCEPTED)
-        if status == REFUSED_BY_TOKEN:
+        if status == STATUS_REJECTED_TOKEN:
             return Ok(OrderOutcome.REFUSED)
-        return Err(f"the platform answered {status}")
+        return Err(f"the platform replied with status {status}")
--- a/ebonyrack/platform/proxy.py
+++ b/ebonyrack/platform/proxy.py
@@ -1,4 +1,4 @@
-"""Puts a proxy for routes together with the platform's codecs and clients."""
+"""Assembles a route proxy from the platform's codecs and clients."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 from ebonyrack.requests.codec import CALLER_CODECS
 from ebonyrack.requests.codec import UPSTREAM_CODECS
 
-# Name of the protocol that callers and upstreams of the platform speak.
+# Registered name of the protocol used by the platform's callers and upstreams.
 PROTOCOL = "lines"
 
 
@@ -26,10 +26,10 @@
     """A proxy on the platform: an async context manager.
 
     Attributes:
-        store: Client of the store.
-        orders: Client of the promotion calls.
+        store: Client of the key-value store.
+        orders: Client of the promotion endpoint.
         proxy: The proxy.
-        probe: Tells the balancer whether the proxy is ready.
+        probe: Server that reports to the load balancer whether the proxy is ready.
     """
 
     __slots__ = ("store", "orders", "proxy", "probe", "stack")
@@ -54,10 +54,10 @@
         self.stack = AsyncExitStack()
 
     async def start(self) -> None:
-        """Start the clients, the proxy and the probe."""
-        for part in (self.store, self.orders, self.proxy, self.probe):
-            await self.stack.enter_async_context(part)
+        """Start the clients, the proxy and the readiness server."""
+        for owner in (self.store, self.orders, self.proxy, self.probe):
+            await self.stack.enter_async_context(owner)
 
     async def stop(self) -> None:
-        """Stop all of them."""
+        """Stop all of them in reverse order."""
         await self.stack.aclose()
--- a/ebonyrack/platform/readiness_server.py
+++ b/ebonyrack/platform/readiness_server.py
@@ -1,4 +1,4 @@
-"""Answers the balancer's question whether this proxy is ready."""
+"""HTTP server that reports to the load balancer whether this proxy is ready."""
 
 from __future__ import annotations
 
@@ -13,16 +13,16 @@
 
 READY_TARGET = b"/ready"
 READ_BYTES = 4096
-# A connection that asks nothing for this long is closed.
-IDLE_S = 30.0
+# A connection without a request for this long is closed.
+IDLE_TIMEOUT_S = 30.0
 
 
 class ReadinessServer(Component):
-    """A small HTTP server.
+    """HTTP server for readiness probes of the load balancer.
 
     Attributes:
-        address: Where it listens.
-        is_ready: Tells whether callers should be sent here.
+        address: Address on which it listens.
+        is_ready: Returns whether callers should be sent to this proxy.
         server: The listening socket, while open.
     """
 
@@ -34,7 +34,7 @@
         self.server: asyncio.Server | None = None
 
     async def start(self) -> None:
-        """Listen."""
+        """Start listening."""
         self.server = await asyncio.start_server(
             self.serve, self.address.host, self.address.port
         )
@@ -47,28 +47,28 @@
     async def serve(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
-        """Answer the questions of one connection."""
+        """Serve the requests of one connection."""
         connection = h11.Connection(h11.SERVER)
         try:
-            while await self.answer(connection, reader, writer):
+            while await self.respond(connection, reader, writer):
                 connection.start_next_cycle()
         except (OSError, TimeoutError, h11.ProtocolError) as error:
             logger.bind(reason=repr(error)).debug("probe_connection_ended")
         finally:
             writer.close()
 
-    async def answer(
+    async def respond(
         self,
         connection: h11.Connection,
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
     ) -> bool:
-        """Answer one question; return whether the connection goes on."""
+        """Answer one request; return whether the connection can be reused."""
         status = 400
         while True:
             event = connection.next_event()
             if event is h11.NEED_DATA:
-                async with asyncio.timeout(IDLE_S):
+                async with asyncio.timeout(IDLE_TIMEOUT_S):
                     connection.receive_data(await reader.read(READ_BYTES))
             elif isinstance(event, h11.Request):
                 status = self.choose_status(event)
@@ -77,16 +77,16 @@
             elif isinstance(event, h11.ConnectionClosed) or event is h11.PAUSED:
                 return False
         headers = [("Content-Length", "0")]
-        for part in (
+        for response_event in (
             h11.Response(status_code=status, headers=headers),
             h11.EndOfMessage(),
         ):
-            writer.write(connection.send(part) or b"")
+            writer.write(connection.send(response_event) or b"")
         await writer.drain()
         return connection.our_state is h11.DONE
 
     def choose_status(self, request: h11.Request) -> int:
-        """Return the status of an answer."""
+        """Return the HTTP status for a request."""
         if request.target.split(b"?")[0] != READY_TARGET:
             return 404
         return 200 if self.is_ready() else 503
--- a/ebonyrack/platform/route_document.py
+++ b/ebonyrack/platform/route_document.py
@@ -1,4 +1,4 @@
-"""The operators' configuration as it lies in the platform's store."""
+"""Decodes the operators' configuration from the platform's store."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
         value: The bytes in the store.
 
     Returns:
-        The routes, or why they can't be read.
+        The routes, or why they can't be decoded.
     """
     try:
         body: Any = json.loads(value)
@@ -47,21 +47,21 @@
             )
         )
     except (ValueError, LookupError, TypeError, AttributeError) as error:
-        return Err(f"bad configuration: {error!r}")
+        return Err(f"invalid configuration: {error!r}")
 
 
 def decode_route(route: dict[str, Any]) -> Route:
     """Decode one route.
 
     Raises:
-        ValueError, LookupError, TypeError: If it has another form.
+        ValueError, LookupError, TypeError: If it is malformed.
     """
     return Route(
-        # The field is called host but holds the name of the database.
+        # The field is called host but contains the name of the database.
         database=str(route["host"]).encode(),
         group=str(route["service"]),
         consistency=CONSISTENCIES[route["kind"]],
-        # This limits one statement, the target the whole operation.
+        # This limits one statement; the target latency is for the whole operation.
         statement_timeout_s=route["timeoutMs"] / MS_PER_S,
         target_latency_s=route["targetLatencyMs"] / MS_PER_S,
         priority=int(route["priority"]),
@@ -70,10 +70,10 @@
 
 
 def decode_limits(service: dict[str, Any]) -> GroupLimits:
-    """Decode what the configuration says of one group.
+    """Decode the limits of one group.
 
     Raises:
-        ValueError, LookupError, TypeError: If it has another form.
+        ValueError, LookupError, TypeError: If it is malformed.
     """
     return GroupLimits(
         name=str(service["name"]),
--- a/ebonyrack/platform/settings_file.py
+++ b/ebonyrack/platform/settings_file.py
@@ -1,4 +1,4 @@
-"""The platform's settings file: lines of the form a.b=value."""
+"""Parses the platform's settings file: lines of the form a.b=value."""
 
 from __future__ import annotations
 
@@ -13,26 +13,26 @@
 from ebonyrack.core.config_error import ConfigError
 from ebonyrack.core.route_settings import RouteProxySettings
 
-# The platform names the file in this variable of the environment.
+# Environment variable in which the platform passes the path of the file.
 PATH_VARIABLE = "EBONYRACK_NODE_FILE"
 
-Faults = tuple[ConfigError, ...]
+ConfigErrors = tuple[ConfigError, ...]
 
 
 def read_seconds(text: str) -> float:
-    """Read a time in seconds.
+    """Parse a duration in seconds.
 
     Raises:
-        ValueError: If it is no number above 0.
+        ValueError: If it is not a finite number above 0.
     """
     value = float(text)
     if not 0 < value < float("inf"):
-        raise ValueError(f"not a time above 0: {text!r}")
+        raise ValueError(f"must be a duration above 0: {text!r}")
     return value
 
 
-def read_word(text: str) -> str:
-    """Return a text that must not be empty.
+def read_nonempty(text: str) -> str:
+    """Return a string that must not be empty.
 
     Raises:
         ValueError: If it is empty.
@@ -42,47 +42,47 @@
     return text
 
 
-# Attribute of the settings, key in the file, reader of the value.
+# Attribute of the settings, key in the file, parser of the value.
 FIELDS: tuple[tuple[str, str, Callable[[str], Any]], ...] = (
-    ("name", "nodeName", read_word),
-    ("data_centre", "zone", read_word),
+    ("name", "nodeName", read_nonempty),
+    ("data_centre", "zone", read_nonempty),
     ("caller_address", "listen.front", parse_address),
     ("ready_address", "listen.healthAddr", parse_address),
-    # The platform calls its store just "platform", and the rest "cloud".
+    # The platform calls its store just "platform", and the rest of itself "cloud".
     ("store_address", "platform.address", parse_address),
     ("order_address", "cloud.address", parse_address),
     ("grace_s", "bounds.graceS", read_seconds),
 )
 
 
-def parse_settings(text: str, source: str) -> Result[RouteProxySettings, Faults]:
-    """Read and check the settings as a whole.
+def parse_settings(text: str, source: str) -> Result[RouteProxySettings, ConfigErrors]:
+    """Parse and validate the settings as a whole.
 
     Args:
-        text: The file; keys that aren't known are left alone.
-        source: Name of the file, for faults.
+        text: Content of the file; unknown keys are ignored.
+        source: Name of the file, for configuration errors.
 
     Returns:
-        The settings, or every fault.
+        The settings, or all configuration errors.
     """
     values: dict[str, str] = {}
-    faults: list[ConfigError] = []
+    errors: list[ConfigError] = []
     for number, line in enumerate(text.splitlines(), start=1):
         key, equals, value = line.partition("=")
         if line.strip() and not equals:
-            faults.append(
+            errors.append(
                 ConfigError(source, "", f"line {number}", "must be key=value")
             )
         values[key.strip()] = value.strip()
-    found: dict[str, Any] = {}
+    settings: dict[str, Any] = {}
     for attribute, key, read in FIELDS:
         if key not in values:
-            faults.append(ConfigError(source, "", key, "is missing"))
+            errors.append(ConfigError(source, "", key, "is missing"))
             continue
         try:
-            found[attribute] = read(values[key])
+            settings[attribute] = read(values[key])
         except ValueError as error:
-            faults.append(ConfigError(source, "", key, str(error)))
-    if faults:
-        return Err(tuple(faults))
-    return Ok(RouteProxySettings(**found))
+            errors.append(ConfigError(source, "", key, str(error)))
+    if errors:
+        return Err(tuple(errors))
+    return Ok(RouteProxySettings(**settings))
--- a/ebonyrack/platform/upstream_codec.py
+++ b/ebonyrack/platform/upstream_codec.py
@@ -1,4 +1,4 @@
-"""The line protocol towards upstreams."""
+"""The upstream side of the line protocol."""
 
 from __future__ import annotations
 
@@ -23,8 +23,8 @@
 from ebonyrack.requests.request import Request
 from ebonyrack.requests.request import RequestKind
 
-# The word by which a proxy names itself to upstreams; any word is taken.
-CONNECTING_AS = "ebonyrack"
+# Name under which a proxy connects to upstreams, which accept any name.
+APPLICATION_NAME = "ebonyrack"
 STATUS_FIELDS = 7
 MS_PER_S = 1000.0
 
@@ -32,12 +32,12 @@
 
 
 def render_text(request: Request) -> bytes:
-    """Return the caller's text as it came."""
+    """Return the caller's text unchanged."""
     return request.text
 
 
 def render_prepare(request: Request) -> bytes:
-    """Return the preparing of a statement."""
+    """Return the preparation of a statement."""
     kind = b"WRITE" if request.writes else b"READ"
     return b"PREPARE %b %b %b" % (request.name, kind, request.argument)
 
@@ -63,42 +63,44 @@
 
 @UPSTREAM_CODECS.register("lines")
 class LineUpstreamCodec:
-    """Writes statements and reads replies, a line each."""
+    """Encodes statements and reads replies, one line each."""
 
     __slots__ = ()
 
     def encode_start(self, group: str, member_id: str) -> bytes:
-        """Return the opening of a session with one upstream of a group."""
-        return f"STARTUP {group} {CONNECTING_AS} {member_id}".encode() + LINE_END
+        """Return the startup message for a session with one upstream of a group."""
+        return f"STARTUP {group} {APPLICATION_NAME} {member_id}".encode() + LINE_END
 
     def encode_request(self, request: Request) -> bytes:
-        """Return a statement."""
+        """Return the message for a statement."""
         text = RENDERERS[request.kind](request)
         if request.minimum_position is not None:
-            after = request.minimum_position
-            text = b"AFTER %d.%d %b" % (after.term, after.offset, text)
+            position = request.minimum_position
+            text = b"AFTER %d.%d %b" % (position.term, position.offset, text)
         return b"QUERY %b %b\r\n" % (request.request_id or NO_VALUE, text)
 
     async def read_reply(self, stream: LineStream) -> Reply:
-        """Read the answer to the oldest statement without one.
+        """Read the reply to the oldest statement that has none.
 
         Args:
             stream: The connection.
 
         Returns:
-            The reply, also to the opening of the session; one that was refused
-            ends with the connection and has no state.
+            The reply, also to the startup message. A rejected startup ends with the
+            connection and has no state.
 
         Raises:
-            StreamLostError: If the connection ended before a whole reply came, or
-                what came can't be understood.
+            StreamLostError: If the connection ended before a whole reply arrived, or
+                the reply is invalid.
         """
         reply = Reply()
         while True:
             try:
                 word, _, rest = (await stream.read_line()).partition(b" ")
             except LineTooLongError as error:
-                raise lose(stream, "the upstream sent a line too long") from error
+                raise abort_stream(
+                    stream, "the upstream sent a line that is too long"
+                ) from error
             except StreamLostError:
                 if reply.rejection is not None and not stream.buffer:
                     return reply
@@ -116,64 +118,68 @@
             elif word == b"READY":
                 return read_ready(stream, reply, rest)
             else:
-                raise lose(stream, f"the upstream sent {word[:20]!r}")
+                raise abort_stream(
+                    stream, f"unexpected message from the upstream: {word[:20]!r}"
+                )
 
     def read_status(self, reply: Reply) -> Result[UpstreamStatus, str]:
-        """Read what an upstream says of its part in the group.
+        """Parse an upstream's report of its role in the group.
 
         Args:
             reply: Reply to STATUS, PAUSE or RESUME.
 
         Returns:
-            The status, or why there is none.
+            The status, or why it is missing or invalid.
         """
         if reply.rejection is not None or len(reply.rows) != 1:
-            return Err(reply.detail or "no status came")
-        words = reply.rows[0].split()
-        if len(words) != STATUS_FIELDS:
-            return Err(f"bad status: {reply.rows[0][:80]!r}")
+            return Err(reply.detail or "no status was received")
+        fields = reply.rows[0].split()
+        if len(fields) != STATUS_FIELDS:
+            return Err(f"invalid status: {reply.rows[0][:80]!r}")
         try:
-            role, term, received, held, lag_ms, busy, connections = words
+            role, term, received, paused_term, lag_ms, busy, connections = fields
             return Ok(
                 UpstreamStatus(
                     is_primary=role == b"primary",
                     term=int(term),
-                    received=parse_dotted(received),
-                    paused_term=int(held),
+                    received=parse_position(received),
+                    paused_term=int(paused_term),
                     lag_s=float(lag_ms) / MS_PER_S,
                     busy_slots=int(busy),
                     connections=int(connections),
                 )
             )
         except ValueError as error:
-            return Err(f"bad status: {error}")
+            return Err(f"invalid status: {error}")
 
 
 def read_ready(stream: LineStream, reply: Reply, rest: bytes) -> Reply:
-    """Read the end of a reply."""
-    letter, _, position = rest.partition(b" ")
-    if letter not in STATES_BY_CODE:
-        raise lose(stream, f"the upstream is in state {letter[:20]!r}")
-    reply.state = STATES_BY_CODE[letter]
+    """Parse the end of a reply."""
+    code, _, position = rest.partition(b" ")
+    if code not in STATES_BY_CODE:
+        raise abort_stream(stream, f"the upstream sent the unknown state {code[:20]!r}")
+    reply.state = STATES_BY_CODE[code]
     if position != NO_VALUE:
         try:
-            reply.position = parse_dotted(position)
+            reply.position = parse_position(position)
         except ValueError as error:
-            raise lose(stream, f"the upstream named no position: {error}") from error
+            raise abort_stream(
+                stream, f"the upstream sent an invalid position: {error}"
+            ) from error
     return reply
 
 
-def lose(stream: LineStream, reason: str) -> StreamLostError:
-    """Drop a connection that can't be understood any more."""
+def abort_stream(stream: LineStream, reason: str) -> StreamLostError:
+    """Abort a connection after an invalid message."""
     stream.abort(reason)
     return StreamLostError(reason)
 
 
-def parse_dotted(text: bytes) -> LogPosition:
-    """Read a position from its `TERM.NUMBER` form.
+def parse_position(text: bytes) -> LogPosition:
+    """Parse a position of the form `TERM.NUMBER`.
 
     Raises:
-        ValueError: If the text has another form.
+        ValueError: If the text is malformed.
     """
     term, dot, number = text.partition(b".")
     if not (dot and term.isdigit() and number.isdigit()):
--- a/ebonyrack/platform/upstream_codec_test.py
+++ b/ebonyrack/platform/upstream_codec_test.py
@@ -20,7 +20,7 @@
 CODEC = LineUpstreamCodec()
 
 
-async def test_a_reply_with_rows_position_and_state(feed):
+async def test_reply_with_rows_position_and_state_is_parsed(feed):
     data = b"DATAROW a b\r\nCOMPLETE 7.1f\r\nREADY T 3.1209\r\n"
     reply = await CODEC.read_reply(feed(data))
     assert reply.rows == [b"a b"]
@@ -29,20 +29,20 @@
     assert reply.position == LogPosition(3, 1209)
 
 
-async def test_a_rejection(feed):
+async def test_rejection_is_parsed(feed):
     reply = await CODEC.read_reply(feed(b"ERROR READONLY i-7f\r\nREADY E -\r\n"))
     assert reply.rejection is RejectionKind.READ_ONLY
     assert reply.rejection.is_not_run
     assert reply.position is None
 
 
-async def test_a_code_that_is_not_known_promises_nothing(feed):
+async def test_unknown_error_code_does_not_imply_not_run(feed):
     reply = await CODEC.read_reply(feed(b"ERROR ODD x\r\nREADY I 1.1\r\n"))
     assert reply.rejection is RejectionKind.OTHER
     assert not reply.rejection.is_not_run
 
 
-async def test_a_refused_opening_ends_with_the_connection(feed):
+async def test_rejected_startup_ends_with_the_connection(feed):
     reply = await CODEC.read_reply(feed(b"ERROR TOOMANY -\r\n"))
     assert reply.rejection is RejectionKind.TOO_MANY_CONNECTIONS
 
@@ -51,13 +51,13 @@
     "data",
     [b"DATAROW a\r\n", b"READY X 1.1\r\n", b"READY I one\r\n", b"HELLO\r\n", b""],
 )
-async def test_replies_that_break_off_or_make_no_sense(feed, data):
+async def test_incomplete_or_invalid_reply_loses_the_connection(feed, data):
     with pytest.raises(StreamLostError):
         await CODEC.read_reply(feed(data))
 
 
 @given(st.binary(max_size=300))
-def test_any_bytes_are_a_reply_or_lose_the_connection(data):
+def test_arbitrary_bytes_give_a_reply_or_lose_the_connection(data):
     stream = LineStream()
     stream.buffer += data
     stream.mark_lost("ended")
@@ -68,7 +68,7 @@
     assert isinstance(reply, Reply)
 
 
-def test_statements():
+def test_statements_are_encoded():
     read = Request(RequestKind.READ, b"5c", b"READ 1a4")
     assert CODEC.encode_request(read) == b"QUERY 5c READ 1a4\r\n"
     placed = read.with_position(LogPosition(3, 1207))
@@ -78,7 +78,7 @@
     assert CODEC.encode_start("g", "i-1") == b"STARTUP g ebonyrack i-1\r\n"
 
 
-def test_status():
+def test_status_is_parsed():
     reply = Reply(rows=[b"replica 3 3.1209 0 12 2 17"])
     status = CODEC.read_status(reply).ok_value
     assert not status.is_primary
@@ -87,5 +87,5 @@
 
 
 @pytest.mark.parametrize("row", [b"replica 3", b"replica x 3.1 0 0 0 0", b""])
-def test_a_status_that_makes_no_sense(row):
+def test_malformed_status_is_rejected(row):
     assert isinstance(CODEC.read_status(Reply(rows=[row])), Err)
