--- a/ebonyrack/upstreams/authentication.py
+++ b/ebonyrack/upstreams/authentication.py
@@ -111,7 +111,7 @@
     """Authenticate as the upstream requests.
 
     Trust and SCRAM-SHA-256 are supported. Clear text and MD5 are rejected, since they
-    would reveal the password to whoever has taken over the upstream's address.
+    would reveal the password to whoever listens on the upstream's address.
 
     Args:
         frames: The connection, after the startup message.
--- a/ebonyrack/upstreams/connection.py
+++ b/ebonyrack/upstreams/connection.py
@@ -79,7 +79,7 @@
 
     @property
     def is_idle_in_transaction(self) -> bool:
-        """Whether it counts as unused; an idle transaction does not."""
+        """Always False: a connection with an idle transaction counts as in use."""
         return False
 
     @property
--- a/ebonyrack/upstreams/group.py
+++ b/ebonyrack/upstreams/group.py
@@ -49,7 +49,7 @@
         upstreams: Upstreams by name.
         term: Highest term in which a primary was seen.
         primary_name: Name of that primary, or None.
-        primary_learned_at_s: Monotonic time at which it was first seen.
+        primary_learned_at_s: Monotonic time at which this proxy learned of it.
         acknowledged_term: Highest term in which this proxy acknowledged a write.
         coordinator_rank: Rank of this proxy among the group's coordinators, 0 for the
             first; None if it may not start a promotion.
