--- a/ebonyrack/failover/__init__.py
+++ b/ebonyrack/failover/__init__.py
@@ -1,1 +1,1 @@
-"""Detection of lost primaries, ballots and switchovers."""
+"""Failure detection, promotion ballots and planned switchovers of primaries."""
--- a/ebonyrack/failover/ballot.py
+++ b/ebonyrack/failover/ballot.py
@@ -1,4 +1,4 @@
-"""One ballot: a term is granted by a majority and its primary promoted."""
+"""Ballot: a majority grants a new term, then the term's primary is promoted."""
 
 from __future__ import annotations
 
@@ -25,9 +25,9 @@
     from ebonyrack.upstreams.upstream import Upstream
 
 FENCE_TIMEOUT_S = 0.4
-# Once a majority has granted, answers under way are waited for this long.
+# Wait for outstanding replies once a majority has granted the term.
 FENCE_GRACE_S = 0.01
-# The upstream that is to be promoted may be farther away than the others.
+# Longer wait for the preferred upstream, which may be farther away than the others.
 PREFERRED_GRACE_S = 0.1
 PROMOTE_TIMEOUT_S = 0.5
 FOLLOW_TIMEOUT_S = 0.5
@@ -50,38 +50,39 @@
 
 @dataclass(slots=True)
 class BallotOutcome:
-    """How a ballot ended.
+    """Result of a ballot.
 
     Attributes:
-        won: Whether a primary was promoted and opened.
-        reason: Why not, or an empty string.
+        won: Whether a primary was promoted and a majority holds the term's start.
+        reason: Why the ballot failed, or an empty string.
         primary_name: The promoted upstream, or None.
         highest_term: Highest term that an upstream is known to have granted.
-        parts: Seconds for each step, by name.
+        durations_s: Duration of each step in seconds, by log field name.
     """
 
     won: bool = False
     reason: str = ""
     primary_name: str | None = None
     highest_term: int = 0
-    parts: dict[str, float] = field(default_factory=dict)
+    durations_s: dict[str, float] = field(default_factory=dict)
 
 
 class Ballot:
-    """One attempt to make an upstream primary in a term.
+    """One attempt to promote an upstream in a new term.
 
     Attributes:
         group: The group.
-        term: The term, never used by another ballot.
+        term: The term; unique to this ballot.
         preferred: Upstream to promote among equally advanced ones, or None.
         excluded: Upstream that must not be promoted, or None. It is fenced too, but
-            the majority is counted without it, so nothing that it alone holds was
-            acknowledged.
-        safeguards: Safeguards.
-        on_promoted: Called as soon as the promotion was answered.
-        grants: Answers of the upstreams that granted the term.
-        outcome: How it ended.
-        state: Step of the life cycle.
+            does not count toward the majority, so a write that only it holds was
+            never acknowledged.
+        safeguards: Safety rules to enforce.
+        on_promoted: Called as soon as the promotion has succeeded.
+        grants: Replies of the upstreams that granted the term, by name.
+        outcome: Result of the ballot.
+        tasks: Requests to upstreams that may still be running.
+        state: State in the life cycle.
     """
 
     state: str
@@ -112,10 +113,10 @@
         LIFE_CYCLE.add_model(self)
 
     async def run(self) -> BallotOutcome:
-        """Run the ballot to its end.
+        """Run all steps and clean up.
 
         Returns:
-            How it ended.
+            The result.
         """
         try:
             await self.run_steps()
@@ -126,52 +127,52 @@
         return self.outcome
 
     async def run_steps(self) -> None:
-        """Go through the steps; each notes how long it took."""
+        """Run the steps in order and record the duration of each."""
         started_s = now_s()
         self.begin_fencing()
         await self.fence()
-        started_s = self.note_part("fence_s", started_s)
-        winner = self.choose_winner()
-        if winner is None:
+        started_s = self.record_duration("fence_s", started_s)
+        candidate = self.choose_candidate()
+        if candidate is None:
             return
         self.begin_promoting()
-        start = await self.promote(winner)
-        started_s = self.note_part("promotion_s", started_s)
+        start = await self.promote(candidate)
+        started_s = self.record_duration("promotion_s", started_s)
         if start is None:
             return
         self.begin_opening()
-        self.outcome.primary_name = winner.name
-        self.announce(winner, start)
-        await self.open(winner, start)
-        self.note_part("opening_s", started_s)
+        self.outcome.primary_name = candidate.name
+        self.announce(candidate, start)
+        await self.open(candidate, start)
+        self.record_duration("opening_s", started_s)
 
-    def note_part(self, name: str, started_s: float) -> float:
-        """Note the time of a step.
+    def record_duration(self, name: str, started_s: float) -> float:
+        """Record the duration of a step.
 
         Args:
-            name: Name of the part.
+            name: Log field name of the step.
             started_s: Monotonic time at which the step began.
 
         Returns:
-            Monotonic time now.
+            The current monotonic time.
         """
         now = now_s()
-        self.outcome.parts[name] = now - started_s
+        self.outcome.durations_s[name] = now - started_s
         return now
 
-    def give_up(self, reason: str) -> None:
-        """End the ballot without a primary.
+    def fail(self, reason: str) -> None:
+        """End the ballot without a new primary.
 
         Args:
-            reason: What went wrong.
+            reason: Why it failed.
         """
         self.outcome.reason = reason
         self.lose()
 
     async def fence(self) -> None:
-        """Ask every upstream for a grant; ends with a majority or the timeout."""
+        """Request a grant from every upstream until a majority or the timeout."""
         pending = {
-            asyncio.create_task(self.fence_one(upstream))
+            asyncio.create_task(self.request_grant(upstream))
             for upstream in self.group.upstreams.values()
         }
         self.tasks |= pending
@@ -187,8 +188,8 @@
                 grace_s = PREFERRED_GRACE_S if is_awaited else FENCE_GRACE_S
                 deadline_s = min(deadline_s, now_s() + grace_s)
 
-    async def fence_one(self, upstream: Upstream) -> None:
-        """Ask one upstream for a grant and keep its answer.
+    async def request_grant(self, upstream: Upstream) -> None:
+        """Request a grant from one upstream and record its reply.
 
         Args:
             upstream: The upstream.
@@ -205,40 +206,41 @@
         if grant.granted:
             self.grants[upstream.name] = grant
 
-    def choose_winner(self) -> Upstream | None:
-        """Choose the upstream to promote, or give the ballot up.
+    def choose_candidate(self) -> Upstream | None:
+        """Choose the upstream to promote; fail the ballot if there is none.
 
         Returns:
-            The upstream with the highest position among the grants of a majority.
+            The upstream with the highest log position among those that granted the
+            term, or None.
         """
         if self.outcome.highest_term > self.term:
-            self.give_up(f"an upstream has granted {self.outcome.highest_term}")
+            self.fail(f"an upstream granted higher term {self.outcome.highest_term}")
             return None
         needed = self.group.majority if self.safeguards.needs_majority else 1
         candidates = self.list_candidates()
         if len(candidates) < needed:
-            self.give_up(f"{len(candidates)} grants, {needed} needed")
+            self.fail(f"{len(candidates)} grants, {needed} needed")
             return None
-        if not self.safeguards.picks_highest:
+        if not self.safeguards.promotes_most_advanced:
             return min(candidates, key=self.rank_candidate)
         return max(candidates, key=self.rank_candidate)
 
     def list_candidates(self) -> list[Upstream]:
-        """Return the upstreams that granted the term and may be promoted."""
+        """Return the upstreams with a valid grant that may be promoted."""
         return [
             self.group.upstreams[name]
             for name in self.grants
-            if name != self.excluded and self.is_counted(name)
+            if name != self.excluded and self.is_grant_valid(name)
         ]
 
-    def is_counted(self, name: str) -> bool:
-        """Tell whether a grant may count; that of an upstream without its log can't.
+    def is_grant_valid(self, name: str) -> bool:
+        """Check that an upstream did not lose its log before it granted the term.
 
         Args:
             name: Name of an upstream that granted the term.
 
         Returns:
-            Whether it still holds what it was counted with in confirmations.
+            Whether it still holds every write that it helped to confirm.
         """
         upstream = self.group.upstreams.get(name)
         if upstream is None:
@@ -246,13 +248,14 @@
         return upstream.confirmed_log.holds(self.grants[name].received)
 
     def rank_candidate(self, upstream: Upstream) -> tuple[LogPosition, bool, bool, str]:
-        """Return the key by which candidates compare.
+        """Return the sort key of a promotion candidate; the highest is the best.
 
         Args:
             upstream: An upstream that granted the term.
 
         Returns:
-            Its position; then whether it is preferred, stays, and its name.
+            Its log position, then whether it is preferred, whether it is not
+            leaving, and its name.
         """
         return (
             self.grants[upstream.name].received,
@@ -261,70 +264,72 @@
             upstream.name,
         )
 
-    async def promote(self, winner: Upstream) -> LogPosition | None:
-        """Order the promotion.
+    async def promote(self, candidate: Upstream) -> LogPosition | None:
+        """Promote the candidate.
 
         Args:
-            winner: The upstream to promote.
+            candidate: The upstream to promote.
 
         Returns:
-            Position of the term-start record, or None if it did not happen.
+            Log position of the term-start record, or None if it was not promoted.
         """
-        contract = winner.contract
+        contract = candidate.contract
         try:
-            answer = await winner.call(
+            answer = await candidate.call(
                 contract.build_promote(self.term), PROMOTE_TIMEOUT_S
             )
             return contract.parse_promotion(answer.rows[0])
         except (UpstreamLostError, ValueError) as error:
-            return await self.settle_lost_answer(winner, str(error))
+            return await self.resolve_unknown_promotion(candidate, str(error))
 
-    async def settle_lost_answer(
-        self, winner: Upstream, reason: str
+    async def resolve_unknown_promotion(
+        self, candidate: Upstream, reason: str
     ) -> LogPosition | None:
-        """Ask whether a promotion without an answer took effect.
+        """Poll the candidate to find out whether an unanswered promotion took effect.
 
         Args:
-            winner: The upstream that was to be promoted.
-            reason: What happened to the answer.
+            candidate: The upstream that was to be promoted.
+            reason: Why there was no valid reply.
 
         Returns:
-            Its last position if it is primary in the term, or None.
+            Its log position if it is primary in the term, or None.
         """
         try:
-            status = await winner.poll()
+            status = await candidate.poll()
         except UpstreamLostError:
             status = None
-        if status is not None and winner.is_primary_in(self.term):
+        if status is not None and candidate.is_primary_in(self.term):
             return status.received
-        self.give_up(f"promotion of {winner.name} failed: {reason}")
+        self.fail(f"promotion of {candidate.name} failed: {reason}")
         return None
 
-    def announce(self, winner: Upstream, start: LogPosition) -> None:
-        """Let this proxy and its peers know the new primary.
+    def announce(self, candidate: Upstream, start: LogPosition) -> None:
+        """Announce the new primary to this proxy and its peers.
 
         Args:
-            winner: The new primary.
-            start: Position of its term-start record.
+            candidate: The new primary.
+            start: Log position of its term-start record.
         """
-        leaving = winner.status is not None and winner.status.leaving
-        winner.record_status(
+        leaving = candidate.status is not None and candidate.status.leaving
+        candidate.record_status(
             UpstreamStatus(Role.PRIMARY, self.term, self.term, start, start, leaving),
             now_s(),
         )
-        self.on_promoted(winner.name)
+        self.on_promoted(candidate.name)
 
-    async def open(self, winner: Upstream, start: LogPosition) -> None:
-        """Let the others follow and wait until a majority holds the term's start.
+    async def open(self, candidate: Upstream, start: LogPosition) -> None:
+        """Order the others to follow; wait until a majority holds the term's start.
 
         Args:
-            winner: The new primary.
-            start: Position of its term-start record.
+            candidate: The new primary.
+            start: Log position of its term-start record.
         """
         for upstream in self.group.upstreams.values():
-            if upstream is not winner:
+            if upstream is not candidate:
                 self.tasks.add(
-                    asyncio.create_task(order_follow(upstream, self.term, winner))
+                    asyncio.create_task(
+                        send_follow_order(upstream, self.term, candidate)
+                    )
                 )
         try:
             async with asyncio.timeout(OPEN_TIMEOUT_S):
@@ -332,14 +337,14 @@
         except TimeoutError:
             opened = False
         if not opened:
-            self.give_up("no majority holds the start of the term")
+            self.fail("no majority received the start of the term")
             return
         self.outcome.won = True
         self.win()
 
 
-async def order_follow(upstream: Upstream, term: int, primary: Upstream) -> None:
-    """Order an upstream to follow a primary; a failure is left to a later order.
+async def send_follow_order(upstream: Upstream, term: int, primary: Upstream) -> None:
+    """Order an upstream to follow a primary; on failure, `Repair` sends it again.
 
     Args:
         upstream: The upstream.
--- a/ebonyrack/failover/bench_test.py
+++ b/ebonyrack/failover/bench_test.py
@@ -1,4 +1,4 @@
-"""Proxies of one process around a stand-in group, for the tests of failover."""
+"""Test bench for failover: proxies in one process and a stand-in group."""
 
 from __future__ import annotations
 
@@ -17,8 +17,8 @@
 from ebonyrack.core.errors import RequestError
 from ebonyrack.core.position import parse_position
 from ebonyrack.failover.coordinator import Coordinator
-from ebonyrack.failover.pre_vote import OpinionDesk
-from ebonyrack.failover.ranking import COORDINATORS
+from ebonyrack.failover.pre_vote import PrimaryMessageHandler
+from ebonyrack.failover.ranking import COORDINATORS_PER_GROUP
 from ebonyrack.failover.terms import TermSource
 from ebonyrack.peers.link import PeerLostError
 from ebonyrack.routing.write_path import acknowledge_write
@@ -32,7 +32,7 @@
 
 
 class FakeStore:
-    """Compare-and-swap in memory that can be down or lose its answers."""
+    """In-memory store that can be down or lose replies."""
 
     def __init__(self):
         self.values = {}
@@ -46,7 +46,7 @@
         return Ok(self.values.get(key))
 
     async def compare_and_swap(self, key, value, index):
-        """Replace a value that nobody changed meanwhile."""
+        """Replace a value if its index is unchanged."""
         if self.is_down:
             return Err("unreachable")
         present = self.values.get(key)
@@ -55,28 +55,28 @@
         self.values[key] = SimpleNamespace(value=value, index=index + 1)
         if self.lost_answers:
             self.lost_answers -= 1
-            return Err("answer lost")
+            return Err("response lost")
         return Ok(True)
 
 
 class FakeNetwork:
-    """Hands messages between hubs of one process; links can be cut."""
+    """Delivers messages between hubs in one process; links can be cut."""
 
     def __init__(self):
         self.hubs = {}
         self.cut = set()
 
     def is_cut(self, one, other):
-        """Tell whether two proxies can't talk."""
+        """Return whether the link between two proxies is cut."""
         return frozenset((one, other)) in self.cut
 
     def isolate(self, name):
-        """Cut a proxy from all others."""
+        """Cut the links between a proxy and all others."""
         self.cut |= {frozenset((name, other)) for other in self.hubs if other != name}
 
 
 class FakeHub:
-    """A hub whose links are calls."""
+    """A peer hub that delivers messages by function calls."""
 
     def __init__(self, network, name):
         self.network = network
@@ -86,16 +86,16 @@
         network.hubs[name] = self
 
     def register_handler(self, message_type, callback):
-        """Register a coroutine for a type of message."""
+        """Register a handler for a message type."""
         self.handlers.setdefault(message_type, []).append(callback)
 
     async def dispatch(self, message):
-        """Call what is registered for a message."""
+        """Call the handlers of a message and return the first reply."""
         replies = [await item(None, message) for item in self.handlers[type(message)]]
         return next((reply for reply in replies if reply is not None), None)
 
     async def request(self, peer_name, message, timeout_s):
-        """Ask a peer; a cut link gives no answer."""
+        """Send a request to a peer; raises PeerLostError if the link is cut."""
         peer = self.network.hubs.get(peer_name)
         if peer is None or self.network.is_cut(self.name, peer_name):
             await asyncio.sleep(timeout_s)
@@ -103,7 +103,7 @@
         return await peer.dispatch(message)
 
     def broadcast(self, message):
-        """Send a message to every peer that is not cut off."""
+        """Send a message to every reachable peer."""
         for name, hub in self.network.hubs.items():
             if name != self.name and not self.network.is_cut(self.name, name):
                 task = asyncio.create_task(hub.dispatch(message))
@@ -112,7 +112,7 @@
 
 
 class FakeMembership:
-    """A table of proxies that the test fills."""
+    """A membership table that the test fills."""
 
     def __init__(self, name, names):
         self.local = SimpleNamespace(name=name)
@@ -120,16 +120,16 @@
         self.callbacks = []
 
     def subscribe(self, callback):
-        """Call a function after each change."""
+        """Register a function to call after each change."""
         self.callbacks.append(callback)
 
     def live_members(self):
-        """Return the proxies that the test named."""
+        """Return the proxies that the test added."""
         return tuple(SimpleNamespace(name=name) for name in sorted(self.names))
 
 
 class Proxy:
-    """What failover needs of one proxy, and writes through it."""
+    """The failover components of one proxy, and writes through it."""
 
     def __init__(self, name, section, network, names, store, safeguards=None):
         self.name = name
@@ -138,7 +138,7 @@
         self.membership = FakeMembership(name, names)
         self.group = DatabaseGroup(GROUP, section, 6)
         self.terms = TermSource()
-        self.desk = OpinionDesk(self.hub, {GROUP: self.group})
+        self.message_handler = PrimaryMessageHandler(self.hub, {GROUP: self.group})
         self.coordinator = Coordinator(
             self.group, self.terms, self.hub, self.membership, safeguards
         )
@@ -155,7 +155,7 @@
         await self.group.__aexit__(*error)
 
     async def write(self, request, wait_s=5.0):
-        """Insert a booking; returns its position once it is acknowledged."""
+        """Insert a booking; return its log position once it is acknowledged."""
         deadline_s = now_s() + wait_s
         connection, position = await self.insert(request, deadline_s)
         await acknowledge_write(self.group, connection, position, deadline_s)
@@ -180,7 +180,7 @@
         return connection, position
 
     async def commit(self, connection, request, deadline_s):
-        """Insert a booking and ask for the position of the commit."""
+        """Insert a booking and query the log position of the commit."""
         sql = (
             f"INSERT INTO bookings (slot, booker, request) VALUES (1, 'a', '{request}')"
         )
@@ -193,7 +193,7 @@
         return parse_position(answer.rows[0][0])
 
     async def write_until_acknowledged(self, request):
-        """Write like a caller that never gives up, under one key."""
+        """Repeat a write under one key until it is acknowledged."""
         for _ in range(400):
             try:
                 return await self.write(request)
@@ -213,42 +213,42 @@
         self.network = FakeNetwork()
         self.names = set()
         self.store = FakeStore()
-        self.rival_terms = TermSource()
+        self.competing_terms = TermSource()
         self.proxies = {}
         self.stack = AsyncExitStack()
 
     async def add_proxy(self, name, safeguards=None):
-        """Start a proxy that the others know."""
+        """Start a proxy and add it to the membership of the others."""
         self.names.add(name)
-        self.tell_members_changed()
+        self.notify_members_changed()
         section = self.standins.section(**self.overrides)
         proxy = Proxy(name, section, self.network, self.names, self.store, safeguards)
         self.proxies[name] = await self.stack.enter_async_context(proxy)
         return proxy
 
     async def stop_proxy(self, name):
-        """Stop a proxy; the others hear that it is dead."""
+        """Stop a proxy and remove it from the membership of the others."""
         proxy = self.proxies.pop(name)
         await proxy.coordinator.__aexit__(None, None, None)
         del self.network.hubs[name]
         self.names.discard(name)
-        self.tell_members_changed()
+        self.notify_members_changed()
         return proxy
 
-    def tell_members_changed(self):
-        """Let every proxy look at the table of members again."""
+    def notify_members_changed(self):
+        """Notify every proxy of a membership change."""
         for proxy in self.proxies.values():
             for callback in proxy.membership.callbacks:
                 callback(None)
 
     def check_acknowledged(self, position):
-        """Check that a majority holds a write at the moment of its acknowledgement."""
+        """Check that a majority holds a write when it is acknowledged."""
         logs = [upstream.log for upstream in self.standins.upstreams.values()]
         held = sum(log.holds(position) for log in logs)
         assert held > len(logs) // 2, f"{position} is held by {held}"
 
     def check_terms(self):
-        """Check that no two upstreams ever started the same term."""
+        """Check that no two upstreams started the same term."""
         starts = {}
         for upstream in self.standins.upstreams.values():
             for entry in upstream.log.entries:
@@ -256,13 +256,13 @@
                     starts.setdefault(entry.position.term, set()).add(entry.position)
         assert all(len(positions) == 1 for positions in starts.values()), starts
 
-    async def settle(self):
-        """Wait until every upstream follows one primary and all logs are alike."""
-        await self.mend()
-        await until(self.is_settled)
+    async def wait_until_converged(self):
+        """End all faults; wait until all upstreams follow one primary."""
+        await self.end_faults()
+        await until(self.is_converged)
 
-    async def mend(self):
-        """End every fault of the upstreams; lag first, as entries keep theirs."""
+    async def end_faults(self):
+        """End all faults of the upstreams; lag first, as sent entries keep theirs."""
         self.standins.set_lag(0.0)
         for name, upstream in self.standins.upstreams.items():
             if not upstream.is_running:
@@ -272,16 +272,16 @@
         self.standins.heal()
 
     async def abandon_ballot(self, *names):
-        """Fence upstreams as a proxy does that dies before it promotes one."""
-        await self.rival_terms.reserve(self.store)
+        """Fence upstreams like a proxy that dies before promoting; return the term."""
+        await self.competing_terms.reserve(self.store)
         seen = (upstream.fenced_term for upstream in self.standins.upstreams.values())
-        term = self.rival_terms.next_term(max(seen))
+        term = self.competing_terms.next_term(max(seen))
         for name in names:
             await self.standins[name].fence(term)
         return term
 
     async def write_while(self, condition):
-        """Write through every proxy while a condition holds; returns what landed."""
+        """Write through every proxy while a condition holds; return the requests."""
         written = []
 
         async def keep_writing(proxy):
@@ -294,8 +294,8 @@
         await asyncio.gather(*(keep_writing(proxy) for proxy in self.proxies.values()))
         return written
 
-    def is_settled(self):
-        """Tell whether there is one primary whose log all upstreams hold."""
+    def is_converged(self):
+        """Return whether all upstreams follow one primary and have the same log."""
         primary = self.standins.primary()
         return (
             primary is not None
@@ -315,19 +315,19 @@
         )
 
     def is_ranked(self):
-        """Tell whether each proxy knows its place among the coordinators."""
+        """Return whether the coordinator ranks of the proxies are up to date."""
         ranks = [proxy.coordinator.rank for proxy in self.proxies.values()]
         known = sorted(rank for rank in ranks if rank is not None)
-        return known == list(range(min(COORDINATORS, len(ranks))))
+        return known == list(range(min(COORDINATORS_PER_GROUP, len(ranks))))
 
     def by_rank(self):
-        """Return the proxies in the order in which they coordinate."""
+        """Return the proxies in the order of their coordinator ranks."""
         return sorted(
             self.proxies.values(), key=lambda proxy: proxy.coordinator.rank or 0
         )
 
     def read_requests(self, name):
-        """Return the booked requests that an upstream's own log holds, in order."""
+        """Return the booked requests in an upstream's log, in order."""
         return [
             value
             for entry in self.standins[name].log.entries
@@ -337,31 +337,31 @@
 
 
 class Writer:
-    """A caller that writes one booking after another and notes the outcomes."""
+    """A caller that writes one booking after another and records the outcomes."""
 
     def __init__(self, bench, proxy, prefix):
         self.bench = bench
         self.proxy = proxy
         self.prefix = prefix
         self.acknowledged = []
-        self.undone = []
+        self.not_executed = []
         self.unknown = []
         self.number = 0
 
     async def run(self):
-        """Write for ever."""
+        """Write until cancelled."""
         while True:
             await self.write_one()
 
     async def write_one(self):
-        """Write one booking under a name of its own."""
+        """Write one booking with a unique request name."""
         self.number += 1
         request = f"r-{self.prefix}-{self.number}"
         try:
             position = await self.proxy.write(request, wait_s=3.0)
         except RequestError as error:
             outcomes = {
-                Executed.NO: self.undone,
+                Executed.NO: self.not_executed,
                 Executed.UNKNOWN: self.unknown,
             }
             outcomes[ERROR_ANSWERS[error.kind].ran].append(request)
@@ -371,31 +371,31 @@
             self.bench.check_acknowledged(position)
 
     def check(self, requests):
-        """Check the outcomes against the requests that the group holds at the end."""
-        assert len(requests) == len(set(requests)), "a booking is doubled"
+        """Check the reported outcomes against the requests in the final log."""
+        assert len(requests) == len(set(requests)), "a booking was written twice"
         missing = set(self.acknowledged) - set(requests)
-        assert not missing, f"acknowledged and lost: {missing}"
-        false = set(self.undone) & set(requests)
-        assert not false, f"answered as not run, yet there: {false}"
+        assert not missing, f"acknowledged but lost: {missing}"
+        false = set(self.not_executed) & set(requests)
+        assert not false, f"reported as not run but present: {false}"
 
 
 def find_requests(statement):
-    """Find the requests that a logged statement names."""
+    """Return the request names in a logged statement."""
     parts = statement.sql.split("'")
     return [part for part in parts if part.startswith("r-")]
 
 
 async def until(condition, limit_s=CONDITION_LIMIT_S):
-    """Wait for a condition on the state of the proxies, within a bound."""
+    """Wait until a condition is true; fail after a time limit."""
     deadline_s = now_s() + limit_s
     while not condition():
-        assert now_s() < deadline_s, "the condition did not come true"
+        assert now_s() < deadline_s, "the condition was not met in time"
         await asyncio.sleep(0.005)
 
 
 @pytest.fixture
 async def start_bench():
-    """Return a coroutine that starts a bench; it ends with the test."""
+    """Return a coroutine function that starts a bench; it stops with the test."""
     async with AsyncExitStack() as stack:
 
         async def start(proxies=1, options=None, count=3, **overrides):
--- a/ebonyrack/failover/conftest.py
+++ b/ebonyrack/failover/conftest.py
@@ -1,4 +1,4 @@
-"""Fixtures of the tests of failover."""
+"""Fixtures for the failover tests."""
 
 import importlib
 
--- a/ebonyrack/failover/coordinator.py
+++ b/ebonyrack/failover/coordinator.py
@@ -1,4 +1,4 @@
-"""The coordinator of a group: detection, pre-vote, ballot, repair and switchover."""
+"""Failover coordinator of a group: detection, pre-vote, ballot and repair."""
 
 from __future__ import annotations
 
@@ -16,10 +16,10 @@
 from ebonyrack.failover.ballot import Ballot
 from ebonyrack.failover.ballot import BallotOutcome
 from ebonyrack.failover.detector import Detector
-from ebonyrack.failover.detector import Suspicion
-from ebonyrack.failover.detector import SuspicionReason
-from ebonyrack.failover.pre_vote import ask_peers
-from ebonyrack.failover.ranking import COORDINATORS
+from ebonyrack.failover.detector import FailureReason
+from ebonyrack.failover.detector import PrimaryFailure
+from ebonyrack.failover.pre_vote import collect_votes
+from ebonyrack.failover.ranking import COORDINATORS_PER_GROUP
 from ebonyrack.failover.ranking import rank_members
 from ebonyrack.failover.renewal import Renewal
 from ebonyrack.failover.repair import Repair
@@ -37,12 +37,12 @@
     from ebonyrack.peers.membership import Membership
     from ebonyrack.upstreams.group import DatabaseGroup
 
-# A wake-up that comes later than this shows that the process was paused.
+# A wake-up that is late by more than this means that the process was paused.
 PAUSE_LIMIT_S = 0.25
-# Each rank waits this much longer before it acts.
+# Delay per coordinator rank before a ballot, so that rank 0 acts first.
 RANK_DELAY_S = 0.25
 RECHECK_INTERVAL_S = 0.02
-# A proxy that doesn't coordinate the group looks this often whether it has become one.
+# How often a proxy that is not a coordinator of the group updates its rank.
 RANK_CHECK_S = 1.0
 FIRST_BACKOFF_S = 0.05
 LONGEST_BACKOFF_S = 1.0
@@ -50,25 +50,27 @@
 
 
 class Coordinator(Component):
-    """Watches one group and replaces its primary when that fails.
+    """Monitors one group and replaces its primary when it fails.
 
     Attributes:
         group: The group.
         terms: Source of terms.
         hub: Links to the other proxies.
-        membership: Table of proxies.
-        safeguards: Safeguards; all are on unless a test switches one off.
-        rank: Place among the coordinators, or None if this proxy is none of them.
-        detector: Judges the primary.
-        repair: Orders upstreams that are astray to follow.
+        membership: Membership table of the proxies.
+        safeguards: Safety rules; tests may disable one.
+        rank: Rank among the group's coordinators, 0 for the first, or None if this
+            proxy is not a coordinator.
+        detector: Assesses the health of the primary.
+        repair: Orders detached upstreams to follow the primary.
         switchover: Moves the primary on request or when it is leaving.
-        slowness: Moves a primary that answers, but slowly.
+        slowness: Moves a primary that answers slowly.
         renewal: Brings back upstreams that are fenced above the primary's term.
-        failures: Ballots lost in a row.
+        failures: Consecutive failed ballots.
         highest_term: Highest term that an upstream is known to have granted.
-        has_membership_changed: Whether the rank is to be worked out again.
-        pause: Notices pauses of this process.
-        ballot_lock: Held by the ballot in work.
+        has_membership_changed: Whether the rank must be computed again.
+        pause_detector: Detects pauses of this process.
+        ballot_lock: Held while a ballot runs.
+        task: Monitors the group.
     """
 
     def __init__(
@@ -92,27 +94,27 @@
         self.slowness = SlownessCheck(self)
         self.failures = 0
         self.highest_term = 0
-        self.pause = PauseDetector(PAUSE_LIMIT_S)
+        self.pause_detector = PauseDetector(PAUSE_LIMIT_S)
         self.ballot_lock = asyncio.Lock()
         self.has_membership_changed = True
         self.task: asyncio.Task[None] | None = None
 
     async def start(self) -> None:
-        """Start to watch over the group."""
-        self.membership.subscribe(self.note_member)
+        """Start to monitor the group."""
+        self.membership.subscribe(self.handle_member_change)
         self.update_rank()
         self.task = asyncio.create_task(self.run())
 
     async def stop(self) -> None:
-        """End its task and its repairs."""
+        """Stop the monitoring task and outstanding repair orders."""
         await end_tasks([self.task])
         self.task = None
         await self.repair.close()
-        self.membership.callbacks.remove(self.note_member)
+        self.membership.callbacks.remove(self.handle_member_change)
         self.group.coordinator_rank = None
 
-    def note_member(self, member: Member) -> None:
-        """Work the rank out again after a change of any proxy.
+    def handle_member_change(self, member: Member) -> None:
+        """Schedule an update of the rank after a membership change.
 
         Args:
             member: The proxy that changed.
@@ -120,16 +122,16 @@
         self.has_membership_changed = True
 
     async def run(self) -> None:
-        """Watch the group for ever."""
+        """Check the group periodically until cancelled."""
         while True:
             if self.rank is None:
                 await self.group.changed.wait(RANK_CHECK_S)
                 self.update_rank()
                 continue
             interval_s = self.group.section.probe_interval_s
-            self.pause.schedule(interval_s)
+            self.pause_detector.schedule(interval_s)
             await self.group.changed.wait(interval_s)
-            pause_s = self.pause.measure_pause()
+            pause_s = self.pause_detector.measure_pause()
             self.update_rank()
             if self.rank is None:
                 continue
@@ -137,48 +139,48 @@
                 await self.revalidate(pause_s)
                 continue
             try:
-                await self.watch_once(self.rank)
+                await self.check_group(self.rank)
             except Exception:
-                # A fault in one round must not end the watch over the group.
+                # An unexpected error in one check must not end the monitoring.
                 logger.bind(group=self.group.name).exception("coordinator_failed")
                 await asyncio.sleep(LONGEST_BACKOFF_S)
 
     def update_rank(self) -> None:
-        """Work out whether and in which place this proxy coordinates the group."""
+        """Compute this proxy's coordinator rank if the membership has changed."""
         if not self.has_membership_changed:
             return
         self.has_membership_changed = False
         names = [member.name for member in self.membership.live_members()]
-        ranking = rank_members(self.group.name, names)[:COORDINATORS]
-        own_name = self.membership.local.name
-        rank = ranking.index(own_name) if own_name in ranking else None
+        ranking = rank_members(self.group.name, names)[:COORDINATORS_PER_GROUP]
+        local_name = self.membership.local.name
+        rank = ranking.index(local_name) if local_name in ranking else None
         if rank != self.rank:
             log_decision("coordinator_rank", group=self.group.name, rank=rank)
         self.rank = rank
         self.group.coordinator_rank = rank
 
     async def revalidate(self, pause_s: float) -> None:
-        """Learn the state of the group afresh after this process was paused.
+        """Discard outdated state and poll the group after a pause of this process.
 
         Args:
-            pause_s: Seconds of the pause.
+            pause_s: Length of the pause in seconds.
         """
         logger.bind(group=self.group.name, pause_s=pause_s).warning("pause_noticed")
-        self.detector.unfit_since_s = None
+        self.detector.demoted_since_s = None
         await self.group.poll_all()
 
-    async def watch_once(self, rank: int) -> None:
-        """Judge the primary once and do what is needed.
+    async def check_group(self, rank: int) -> None:
+        """Assess the primary once and act on the result.
 
         Args:
-            rank: Place of this proxy among the coordinators.
+            rank: Coordinator rank of this proxy.
         """
         if self.ballot_lock.locked():
-            # A switchover is in work; what it does to the group is no failure.
+            # A switchover is running; its effects on the group are not failures.
             return
-        suspicion = self.detector.judge()
-        if suspicion is not None:
-            await self.react(suspicion, rank)
+        failure = self.detector.assess_primary()
+        if failure is not None:
+            await self.handle_failure(failure, rank)
             return
         self.failures = 0
         self.repair.check(rank)
@@ -187,56 +189,59 @@
             await self.slowness.check()
         await self.renewal.check(rank)
 
-    async def react(self, suspicion: Suspicion, rank: int) -> None:
-        """Replace the primary if the peers agree and it is this proxy's turn.
+    async def handle_failure(self, failure: PrimaryFailure, rank: int) -> None:
+        """Replace the primary after a granted pre-vote and the delay of the rank.
 
         Args:
-            suspicion: What is wrong with the primary.
-            rank: Place of this proxy among the coordinators.
+            failure: The detected failure of the primary.
+            rank: Coordinator rank of this proxy.
         """
         term = self.group.term
-        parts = {"detection_s": now_s() - suspicion.since_s}
+        durations_s = {"detection_s": now_s() - failure.since_s}
         started_s = now_s()
-        if not await self.is_granted(suspicion):
+        if not await self.run_pre_vote(failure):
             await asyncio.sleep(RECHECK_INTERVAL_S)
             return
-        parts["pre_vote_s"] = now_s() - started_s
+        durations_s["pre_vote_s"] = now_s() - started_s
         started_s = now_s()
-        if not await self.wait_turn(rank):
+        if not await self.wait_before_ballot(rank):
             return
-        parts["rank_delay_s"] = now_s() - started_s
+        durations_s["rank_delay_s"] = now_s() - started_s
         if self.ballot_lock.locked() or self.group.term > term:
             return
         excluded = None
-        if suspicion.reason is SuspicionReason.CUT_FROM_REPLICAS:
+        if failure.reason is FailureReason.CUT_FROM_REPLICAS:
             excluded = self.group.primary_name
-        outcome = await self.hold_ballot(
-            str(suspicion.reason), parts, excluded=excluded
+        outcome = await self.run_ballot(
+            str(failure.reason), durations_s, excluded=excluded
         )
         if not outcome.won:
             await self.back_off()
 
-    async def is_granted(self, suspicion: Suspicion) -> bool:
+    async def run_pre_vote(self, failure: PrimaryFailure) -> bool:
         """Ask the peers whether a ballot may begin.
 
         Args:
-            suspicion: What is wrong with the primary.
+            failure: The detected failure of the primary.
 
         Returns:
-            Whether it may.
+            Whether the ballot may begin.
         """
-        if not self.safeguards.asks_peers:
+        if not self.safeguards.needs_pre_vote:
             return True
         term = self.group.term
-        vote = await ask_peers(
-            self.group, self.hub, self.membership, suspicion.reason.needs_votes
+        vote = await collect_votes(
+            self.group, self.hub, self.membership, failure.reason.needs_votes
+        )
+        # Replicas that lost contact with the primary overrule the peers' votes, which
+        # may be missing.
+        witnessed = (
+            self.group.term == term and self.detector.is_loss_confirmed_by_replicas()
         )
-        # Replicas that heard nothing outweigh peers that can't be asked.
-        witnessed = self.group.term == term and self.detector.is_witnessed()
         log_decision(
             "pre_vote",
             group=self.group.name,
-            reason=str(suspicion.reason),
+            reason=str(failure.reason),
             upstream=self.group.primary_name,
             term=self.group.term,
             granted=vote.granted,
@@ -247,14 +252,14 @@
         )
         return vote.granted or witnessed
 
-    async def wait_turn(self, rank: int) -> bool:
-        """Let the proxies of lower ranks act first.
+    async def wait_before_ballot(self, rank: int) -> bool:
+        """Wait for the rank's delay and the policy's, so that lower ranks act first.
 
         Args:
-            rank: Place of this proxy among the coordinators.
+            rank: Coordinator rank of this proxy.
 
         Returns:
-            Whether the primary is still held for failed when the turn comes.
+            Whether the primary still counts as failed after the delay.
         """
         term = self.group.term
         delay_s = rank * RANK_DELAY_S
@@ -263,27 +268,28 @@
         deadline_s = now_s() + delay_s
         while now_s() < deadline_s:
             await self.group.changed.wait(deadline_s - now_s())
-            if self.group.term > term or self.detector.judge() is None:
+            if self.group.term > term or self.detector.assess_primary() is None:
                 return False
-        return self.detector.judge() is not None
+        return self.detector.assess_primary() is not None
 
-    async def hold_ballot(
+    async def run_ballot(
         self,
         reason: str,
-        parts: dict[str, float],
+        durations_s: dict[str, float],
         preferred: str | None = None,
         excluded: str | None = None,
     ) -> BallotOutcome:
-        """Hold one ballot in a term of its own.
+        """Run one ballot in a new term.
 
         Args:
             reason: Why, for the log.
-            parts: Seconds of the steps so far, by name.
+            durations_s: Durations of the steps so far in seconds, by log field name;
+                those of the ballot are added.
             preferred: Upstream to promote among equally advanced ones, or None.
             excluded: Upstream that must not be promoted, or None.
 
         Returns:
-            How it ended.
+            The result.
         """
         async with self.ballot_lock:
             term = self.terms.next_term(self.find_highest_term())
@@ -301,7 +307,7 @@
             )
             outcome = await ballot.run()
             self.highest_term = max(self.highest_term, outcome.highest_term)
-        parts.update(outcome.parts)
+        durations_s.update(outcome.durations_s)
         log_decision(
             "ballot",
             group=self.group.name,
@@ -312,29 +318,30 @@
             replaced=replaced,
             upstream=outcome.primary_name,
             grants={name: str(g.received) for name, g in ballot.grants.items()},
-            gap_s=round(sum(parts.values()), 4),
-            **{name: round(seconds, 4) for name, seconds in parts.items()},
+            gap_s=round(sum(durations_s.values()), 4),
+            **{name: round(seconds, 4) for name, seconds in durations_s.items()},
         )
         return outcome
 
     def find_highest_term(self) -> int:
-        """Return the highest term that any upstream is known to have seen."""
+        """Return the highest term known from any upstream or earlier ballot."""
         seen = (item.highest_term for item in self.group.upstreams.values())
         return max(self.highest_term, self.group.term, *seen)
 
     async def back_off(self) -> None:
-        """Wait before the next ballot, longer after each that was lost."""
+        """Wait before the next ballot, with exponential backoff and jitter."""
         delay_s = min(LONGEST_BACKOFF_S, FIRST_BACKOFF_S * 2**self.failures)
         self.failures = min(self.failures + 1, 10)
         await asyncio.sleep(random.uniform(delay_s / 2, delay_s))
 
     async def switch_over(self, to: str | None = None) -> SwitchoverOutcome:
-        """Move the primary to another upstream without losing or cutting requests.
+        """Move the primary to another upstream without lost or interrupted requests.
 
         Args:
-            to: Upstream to promote, or None for the most advanced replica.
+            to: Name of the upstream to promote, or None for the most advanced
+                replica.
 
         Returns:
-            Whether it succeeded, and how or why not.
+            The result.
         """
         return await self.switchover.run(to, forced=False)
--- a/ebonyrack/failover/detector.py
+++ b/ebonyrack/failover/detector.py
@@ -1,4 +1,4 @@
-"""Judgement whether the primary of a group has failed."""
+"""Detection of a failed primary from the latest status of all upstreams."""
 
 from __future__ import annotations
 
@@ -12,15 +12,15 @@
     from ebonyrack.upstreams.group import DatabaseGroup
     from ebonyrack.upstreams.upstream import Upstream
 
-# A group whose upstreams have just been found gets this long to show its primary.
+# Time after the start during which a missing primary is not a failure.
 START_GRACE_S = 0.5
-# A primary fenced by a ballot of another proxy gets this long to be replaced by it.
+# Time for a ballot of another proxy to finish after it has fenced an upstream.
 FENCED_GRACE_S = 0.3
 MAXIMUM_FENCES = 100
 
 
-class SuspicionReason(StrEnum):
-    """Ways in which a primary fails."""
+class FailureReason(StrEnum):
+    """How a primary failed; the values are written to the log."""
 
     REFUSED = "refused"
     SILENT = "silent"
@@ -31,73 +31,73 @@
 
     @property
     def needs_votes(self) -> bool:
-        """Whether it may be this proxy's own link that failed."""
+        """Whether peers must confirm it: only this proxy's link may have failed."""
         return self in (
-            SuspicionReason.REFUSED,
-            SuspicionReason.SILENT,
-            SuspicionReason.SLOW,
+            FailureReason.REFUSED,
+            FailureReason.SILENT,
+            FailureReason.SLOW,
         )
 
 
 @dataclass(frozen=True, slots=True)
-class Suspicion:
-    """A primary held for failed.
+class PrimaryFailure:
+    """A detected failure of a primary.
 
     Attributes:
-        reason: In which way.
-        since_s: Monotonic time of the last sign that it worked.
+        reason: How it failed.
+        since_s: Monotonic time at which it was last known to work.
     """
 
-    reason: SuspicionReason
+    reason: FailureReason
     since_s: float
 
 
 class Detector:
-    """Judges the primary of one group by the latest answers of all upstreams.
+    """Assesses the primary of one group from the latest status of all upstreams.
 
     Attributes:
         group: The group.
-        started_at_s: Monotonic time of the first judgement.
-        unfit_since_s: Monotonic time since which the primary answers but is no
+        started_at_s: Monotonic time of the first assessment.
+        demoted_since_s: Monotonic time since which the primary answers but is not
             primary in the group's term, or None.
-        fenced_since_s: Name and granted term of a replica that granted a higher
-            term than the group's, to the monotonic time when that was first seen.
+        fenced_since_s: Maps the name and granted term of a replica fenced above the
+            group's term to the monotonic time when that was first seen.
     """
 
-    __slots__ = ("group", "started_at_s", "unfit_since_s", "fenced_since_s")
+    __slots__ = ("group", "started_at_s", "demoted_since_s", "fenced_since_s")
 
     def __init__(self, group: DatabaseGroup) -> None:
         self.group = group
         self.started_at_s: float | None = None
-        self.unfit_since_s: float | None = None
+        self.demoted_since_s: float | None = None
         self.fenced_since_s: dict[tuple[str, int], float] = {}
 
-    def judge(self) -> Suspicion | None:
-        """Judge the primary now.
+    def assess_primary(self) -> PrimaryFailure | None:
+        """Assess the primary now.
 
         Returns:
-            A suspicion, or None while the primary works or nothing can be said.
+            The failure, or None if the primary works or its health is unknown.
         """
         if self.started_at_s is None:
             self.started_at_s = now_s()
         primary = self.group.upstreams.get(self.group.primary_name or "")
         if primary is None:
-            return self.judge_missing()
+            return self.assess_missing_primary()
         if primary.state == "lost":
-            self.unfit_since_s = None
+            self.demoted_since_s = None
             reason = (
-                SuspicionReason.REFUSED
+                FailureReason.REFUSED
                 if primary.refuses_connections
-                else SuspicionReason.SILENT
+                else FailureReason.SILENT
             )
-            return Suspicion(reason, primary.answered_at_s or self.started_at_s)
+            return PrimaryFailure(reason, primary.answered_at_s or self.started_at_s)
         if not primary.is_primary_in(self.group.term):
-            return self.judge_unfit(primary)
-        self.unfit_since_s = None
-        return self.judge_links(primary)
+            return self.assess_demoted_primary(primary)
+        self.demoted_since_s = None
+        return self.assess_replica_links(primary)
 
-    def judge_missing(self) -> Suspicion | None:
-        """Judge a group whose primary nobody has seen yet."""
+    def assess_missing_primary(self) -> PrimaryFailure | None:
+        """Assess a group without a known primary."""
         assert self.started_at_s is not None
         if now_s() - self.started_at_s < START_GRACE_S:
             return None
@@ -108,25 +108,25 @@
         ]
         if len(reachable) < self.group.majority:
             return None
-        return Suspicion(SuspicionReason.NO_PRIMARY, self.started_at_s)
+        return PrimaryFailure(FailureReason.NO_PRIMARY, self.started_at_s)
 
-    def judge_unfit(self, primary: Upstream) -> Suspicion | None:
-        """Judge a primary that answers but is no primary in the group's term."""
+    def assess_demoted_primary(self, primary: Upstream) -> PrimaryFailure | None:
+        """Assess a primary that answers but is not primary in the group's term."""
         answered_at_s = primary.answered_at_s or 0.0
         if answered_at_s < (self.group.primary_learned_at_s or 0.0):
             return None
-        if self.unfit_since_s is None:
-            self.unfit_since_s = now_s()
+        if self.demoted_since_s is None:
+            self.demoted_since_s = now_s()
         status = primary.status
         is_fenced = status is not None and status.fenced_term > self.group.term
-        if is_fenced and now_s() - self.unfit_since_s < FENCED_GRACE_S:
+        if is_fenced and now_s() - self.demoted_since_s < FENCED_GRACE_S:
             return None
-        return Suspicion(SuspicionReason.FENCED, self.unfit_since_s)
+        return PrimaryFailure(FailureReason.FENCED, self.demoted_since_s)
 
-    def judge_links(self, primary: Upstream) -> Suspicion | None:
-        """Judge whether a primary that answers still reaches a majority.
+    def assess_replica_links(self, primary: Upstream) -> PrimaryFailure | None:
+        """Assess whether a primary that answers still replicates to a majority.
 
-        Deposing it helps only if replicas that make up a majority without it answer.
+        Replacing it helps only if the replicas that answer are a majority without it.
         """
         replicas = [
             upstream
@@ -142,14 +142,14 @@
             for upstream in silent
             if upstream.status is not None
         )
-        return Suspicion(SuspicionReason.CUT_FROM_REPLICAS, now_s() - silence_s)
+        return PrimaryFailure(FailureReason.CUT_FROM_REPLICAS, now_s() - silence_s)
 
-    def is_witnessed(self) -> bool:
-        """Tell whether the replicas themselves say that the primary is gone.
+    def is_loss_confirmed_by_replicas(self) -> bool:
+        """Check whether a majority of replicas has lost contact with the primary.
 
         Returns:
-            Whether a majority of the upstreams, the primary not among them, answers
-            and has heard nothing from it for too long.
+            Whether replicas that answer and are cut off from the primary are a
+            majority of the group without it.
         """
         silent = [
             upstream
@@ -161,40 +161,41 @@
         return len(silent) >= self.group.majority
 
     def is_cut_off(self, upstream: Upstream) -> bool:
-        """Tell whether a replica hears nothing from the primary.
+        """Check whether a replica is cut off from the primary.
 
         Args:
             upstream: A replica that answers.
 
         Returns:
-            Whether it was silent for too long; judged by its lag if the upstream
-            can't tell. A replica that has granted a higher term is cut off too,
-            unless the ballot of that term may still be in work.
+            Whether it received nothing from the primary for too long, or lags too
+            far if it does not report that time. A replica that has granted a higher
+            term is cut off too, unless the ballot of that term may still be running.
         """
         status = upstream.status
         if status is None:
             return False
         if status.fenced_term > self.group.term:
-            return self.is_fenced_for_long(upstream.name, status.fenced_term)
+            return self.is_fence_abandoned(upstream.name, status.fenced_term)
         if not upstream.is_following(self.group.term):
             return False
         if status.silence_s is None:
             lag_s = self.group.primary_history.compute_lag(status.received)
             return lag_s > self.group.section.lag_refusal_s
-        # A replica that has just been ordered to follow has not heard anything yet.
+        # A replica that was just ordered to follow has received nothing yet, so the
+        # silence can't be longer than the term.
         term_age_s = now_s() - (self.group.primary_learned_at_s or 0.0)
         silence_s = min(status.silence_s, term_age_s)
         return silence_s > self.group.section.suspect_after_s
 
-    def is_fenced_for_long(self, name: str, fenced_term: int) -> bool:
-        """Tell whether the ballot that fenced a replica has had its time.
+    def is_fence_abandoned(self, name: str, fenced_term: int) -> bool:
+        """Check whether the ballot that fenced a replica was abandoned.
 
         Args:
             name: Name of the replica.
             fenced_term: Term that it granted.
 
         Returns:
-            Whether it granted the term longer ago than a ballot takes.
+            Whether the grant was seen longer ago than a ballot takes.
         """
         if len(self.fenced_since_s) > MAXIMUM_FENCES:
             self.fenced_since_s.clear()
--- a/ebonyrack/failover/failover_test.py
+++ b/ebonyrack/failover/failover_test.py
@@ -15,7 +15,9 @@
         await proxy.write(f"r-{number}")
 
 
-async def test_killed_primary_is_replaced_and_keeps_what_was_acknowledged(start_bench):
+async def test_killed_primary_is_replaced_without_losing_acknowledged_writes(
+    start_bench,
+):
     bench = await start_bench()
     proxy = bench.proxies["proxy-1"]
     await write_some(proxy, 0, 5)
@@ -26,7 +28,7 @@
     assert bench.read_requests(new) == [f"r-{number}" for number in range(6)]
 
 
-async def test_frozen_primary_wakes_and_follows(start_bench):
+async def test_frozen_primary_follows_the_new_one_after_it_resumes(start_bench):
     bench = await start_bench(proxies=3)
     proxy = bench.proxies["proxy-1"]
     await write_some(proxy, 0, 3)
@@ -69,14 +71,14 @@
     await until(lambda: bench.read_requests("up-1") == ["r-0", "r-1", "r-2"])
 
 
-async def test_one_proxys_bad_link_deposes_nobody(start_bench):
+async def test_broken_link_of_one_proxy_does_not_replace_the_primary(start_bench):
     bench = await start_bench(proxies=3)
     proxy = bench.by_rank()[0]
     upstream = proxy.group.upstreams["up-1"]
     query_status = upstream.query_status
 
     async def fail(deadline_s):
-        raise UpstreamLostError("the link is cut")
+        raise UpstreamLostError("the link is down")
 
     upstream.query_status = fail
     await until(lambda: upstream.state == "lost")
@@ -89,7 +91,7 @@
     await proxy.write("r-0")
 
 
-async def test_group_without_a_majority_refuses_writes_truthfully(start_bench):
+async def test_group_without_a_majority_rejects_writes(start_bench):
     bench = await start_bench()
     proxy = bench.proxies["proxy-1"]
     await bench.standins.kill("up-1")
@@ -104,7 +106,7 @@
     assert bench.read_requests("up-3") == ["r-0"]
 
 
-async def test_write_is_unknown_while_no_majority_can_hold_it(start_bench):
+async def test_write_outcome_is_unknown_without_a_majority(start_bench):
     bench = await start_bench()
     proxy = bench.proxies["proxy-1"]
     bench.standins.set_lag(0.0, receive_delay_s=60.0)
@@ -113,7 +115,7 @@
     assert caught.value.kind is ErrorKind.OUTCOME_UNKNOWN
 
 
-async def test_commit_that_the_new_primary_lacks_is_reported_as_undone(start_bench):
+async def test_commit_that_the_new_primary_lacks_is_reported_as_not_run(start_bench):
     bench = await start_bench()
     proxy = bench.proxies["proxy-1"]
     bench.standins.set_lag(0.0, receive_delay_s=60.0)
@@ -171,14 +173,14 @@
     assert sorted(bench.read_requests("up-3")) == sorted(written)
 
 
-async def test_switchover_moves_to_a_target_that_is_farther_away(start_bench):
+async def test_switchover_to_a_target_with_higher_latency_succeeds(start_bench):
     bench = await start_bench(proxies=2)
     bench.standins.delay("up-2", 0.03)
     outcome = await bench.by_rank()[0].coordinator.switch_over("up-2")
     assert outcome.succeeded, outcome.text
 
 
-async def test_switchover_leaves_an_open_transaction_alone(start_bench):
+async def test_switchover_fails_while_a_transaction_is_open(start_bench):
     bench = await start_bench(proxies=2)
     first, second = bench.by_rank()
     primary = second.group.primary()
@@ -204,7 +206,7 @@
     assert not proxy.group.upstreams["up-1"].pool.is_accepting
 
 
-async def test_three_proxies_coordinate_and_another_takes_the_place_of_a_dead_one(
+async def test_three_proxies_coordinate_and_a_dead_one_is_replaced(
     start_bench,
 ):
     bench = await start_bench(proxies=5)
@@ -229,18 +231,18 @@
     assert len({item.group.primary_name for item in bench.proxies.values()}) == 1
 
 
-async def test_coordinator_dies_together_with_the_primary(start_bench):
+async def test_primary_is_replaced_when_the_first_coordinator_dies_with_it(start_bench):
     bench = await start_bench(proxies=3)
     first, second, third = bench.by_rank()
     await bench.standins.kill("up-1")
-    # The others still hold it for live: they go on without its vote.
+    # The others still consider it live; the pre-vote succeeds without its vote.
     bench.network.isolate(first.name)
     await first.coordinator.__aexit__(None, None, None)
     await second.write_until_acknowledged("r-0")
     await third.write_until_acknowledged("r-1")
 
 
-async def test_replicas_bear_witness_when_no_peer_can_be_asked(start_bench):
+async def test_replicas_confirm_the_loss_when_no_peer_is_reachable(start_bench):
     bench = await start_bench(proxies=2)
     bench.network.isolate("proxy-1")
     bench.standins.freeze("up-1")
@@ -248,13 +250,15 @@
         await proxy.write_until_acknowledged(f"r-{proxy.name}")
 
 
-async def test_proxy_that_reaches_no_one_but_a_replica_deposes_nobody(start_bench):
+async def test_proxy_cut_from_peers_and_primary_does_not_replace_the_primary(
+    start_bench,
+):
     bench = await start_bench(proxies=2)
     bench.network.isolate("proxy-1")
     proxy = bench.by_rank()[0]
 
     async def fail(deadline_s):
-        raise UpstreamLostError("the link is cut")
+        raise UpstreamLostError("the link is down")
 
     proxy.group.upstreams["up-1"].query_status = fail
     await until(lambda: proxy.group.upstreams["up-1"].state == "lost")
@@ -264,7 +268,7 @@
     assert {item.group.term for item in bench.proxies.values()} == {1}
 
 
-async def test_freeze_is_noticed_while_connections_are_being_opened(start_bench):
+async def test_freeze_is_detected_while_connections_are_being_opened(start_bench):
     bench = await start_bench()
     proxy = bench.proxies["proxy-1"]
     upstream = proxy.group.upstreams["up-1"]
@@ -272,7 +276,7 @@
     opening = asyncio.create_task(upstream.pool.acquire("tests", now_s() + 10))
     warming = asyncio.create_task(upstream.pool.warm_up(3))
     await until(lambda: proxy.group.primary_name != "up-1")
-    # Neither waits for the frozen primary any longer.
+    # Both tasks end although the frozen primary does not answer.
     for task in (opening, warming):
         try:
             upstream.pool.release(await task)
@@ -291,12 +295,14 @@
     await proxy.write("r-0")
     proxy.group.mark_leaving("up-2", False)
     assert proxy.group.upstreams["up-2"].pool.is_accepting
-    # Its own word counts as well.
+    # An upstream can also report itself as leaving.
     bench.standins["up-3"].leaving = True
     await until(lambda: not proxy.group.upstreams["up-3"].pool.is_accepting)
 
 
-async def test_leaving_primary_without_a_successor_is_given_up(start_bench):
+async def test_leaving_primary_without_a_successor_rejects_writes_in_the_end(
+    start_bench,
+):
     bench = await start_bench()
     proxy = bench.proxies["proxy-1"]
     await bench.standins.kill("up-2")
@@ -308,7 +314,7 @@
     assert caught.value.kind is ErrorKind.NO_PRIMARY
 
 
-async def test_group_takes_over_a_changed_section(start_bench):
+async def test_group_applies_a_changed_section(start_bench):
     bench = await start_bench()
     proxy = bench.proxies["proxy-1"]
     section = bench.standins.section()
--- a/ebonyrack/failover/fault_matrix_test.py
+++ b/ebonyrack/failover/fault_matrix_test.py
@@ -1,4 +1,4 @@
-"""Every fault at every step of a ballot."""
+"""Every kind of primary failure, and every fault at every step of a ballot."""
 
 import asyncio
 
@@ -15,56 +15,56 @@
 STEPS = {"fence": "fence", "promote": "promote", "open": "follow"}
 
 
-class Strike:
-    """Lets one fault strike when the first ballot reaches a step."""
+class FaultInjector:
+    """Injects one fault when the first ballot reaches a step."""
 
     def __init__(self, monkeypatch, bench, step):
         self.monkeypatch = monkeypatch
         self.bench = bench
         self.step = step
-        self.has_struck = False
+        self.has_injected = False
         self.tasks = []
 
     def start(self, coroutine):
-        """Start a task that has to end without an error before the test does."""
+        """Start a task that must finish without an error before the test ends."""
         self.tasks.append(asyncio.create_task(coroutine))
 
-    def before_step(self, fault):
-        """Run a coroutine function with the ballot before its step begins."""
+    def inject_before_step(self, fault):
+        """Run a fault with the ballot before the step begins."""
         real = getattr(Ballot, self.step)
 
-        async def struck(ballot, *arguments):
-            if not self.has_struck:
-                self.has_struck = True
+        async def call_with_fault(ballot, *arguments):
+            if not self.has_injected:
+                self.has_injected = True
                 await fault(ballot)
             return await real(ballot, *arguments)
 
-        self.monkeypatch.setattr(Ballot, self.step, struck)
+        self.monkeypatch.setattr(Ballot, self.step, call_with_fault)
 
-    def on_calls(self, is_sent, count):
-        """Lose the first calls of the step, before or after they take effect."""
+    def inject_into_calls(self, takes_effect, count):
+        """Fail the first calls of the step, before or after they take effect."""
         real = Upstream.call
         function = f"ebonyrack_{STEPS[self.step]}"
         left = [count]
 
-        async def struck(upstream, sql, timeout_s):
+        async def call_with_fault(upstream, sql, timeout_s):
             if function not in sql or not left[0]:
                 return await real(upstream, sql, timeout_s)
             left[0] -= 1
-            self.has_struck = True
-            if is_sent:
+            self.has_injected = True
+            if takes_effect:
                 await real(upstream, sql, timeout_s)
             raise UpstreamLostError("the answer was lost")
 
-        self.monkeypatch.setattr(Upstream, "call", struck)
+        self.monkeypatch.setattr(Upstream, "call", call_with_fault)
 
 
-def lose_answers(strike):
-    strike.on_calls(is_sent=True, count=2)
+def lose_answers(injector):
+    injector.inject_into_calls(takes_effect=True, count=2)
 
 
-def lose_calls(strike):
-    strike.on_calls(is_sent=False, count=2)
+def lose_calls(injector):
+    injector.inject_into_calls(takes_effect=False, count=2)
 
 
 async def restart_later(standins, name):
@@ -82,73 +82,73 @@
     standins.heal()
 
 
-def kill_a_replica(strike):
+def kill_a_replica(injector):
     async def fault(ballot):
-        await strike.bench.standins.kill("up-3")
-        strike.start(restart_later(strike.bench.standins, "up-3"))
+        await injector.bench.standins.kill("up-3")
+        injector.start(restart_later(injector.bench.standins, "up-3"))
 
-    strike.before_step(fault)
+    injector.inject_before_step(fault)
 
 
-def freeze_a_replica(strike):
+def freeze_a_replica(injector):
     async def fault(ballot):
-        strike.bench.standins.freeze("up-3")
-        strike.start(thaw_later(strike.bench.standins, "up-3"))
+        injector.bench.standins.freeze("up-3")
+        injector.start(thaw_later(injector.bench.standins, "up-3"))
 
-    strike.before_step(fault)
+    injector.inject_before_step(fault)
 
 
-def thaw_the_old_primary(strike):
+def thaw_the_old_primary(injector):
     async def fault(ballot):
-        strike.bench.standins.thaw("up-1")
+        injector.bench.standins.thaw("up-1")
 
-    strike.before_step(fault)
+    injector.inject_before_step(fault)
 
 
-def cut_the_replicas_apart(strike):
+def cut_the_replicas_apart(injector):
     async def fault(ballot):
-        strike.bench.standins.cut("up-2", "up-3")
-        strike.start(heal_later(strike.bench.standins))
+        injector.bench.standins.cut("up-2", "up-3")
+        injector.start(heal_later(injector.bench.standins))
 
-    strike.before_step(fault)
+    injector.inject_before_step(fault)
 
 
-def pause_until_another_has_won(strike):
+def pause_until_another_has_won(injector):
     async def fault(ballot):
         others = [
             proxy.group
-            for proxy in strike.bench.proxies.values()
+            for proxy in injector.bench.proxies.values()
             if proxy.group is not ballot.group
         ]
         term = ballot.term
         await until(lambda: any(group.term > term for group in others))
 
-    strike.before_step(fault)
+    injector.inject_before_step(fault)
 
 
-def compete(strike):
+def start_a_competing_ballot(injector):
     async def fault(ballot):
-        rival = strike.bench.by_rank()[-1].coordinator
-        strike.start(rival.hold_ballot("rival", {}))
+        competitor = injector.bench.by_rank()[-1].coordinator
+        injector.start(competitor.run_ballot("competing", {}))
         await asyncio.sleep(0)
 
-    strike.before_step(fault)
+    injector.inject_before_step(fault)
 
 
-def stop_the_store(strike):
+def stop_the_store(injector):
     async def fault(ballot):
-        strike.bench.store.is_down = True
+        injector.bench.store.is_down = True
 
-    strike.before_step(fault)
+    injector.inject_before_step(fault)
 
 
-def isolate_the_coordinator(strike):
+def isolate_the_coordinator(injector):
     async def fault(ballot):
-        for proxy in strike.bench.proxies.values():
+        for proxy in injector.bench.proxies.values():
             if proxy.group is ballot.group:
-                strike.bench.network.isolate(proxy.name)
+                injector.bench.network.isolate(proxy.name)
 
-    strike.before_step(fault)
+    injector.inject_before_step(fault)
 
 
 FAULTS = [
@@ -159,7 +159,7 @@
     thaw_the_old_primary,
     cut_the_replicas_apart,
     pause_until_another_has_won,
-    compete,
+    start_a_competing_ballot,
     stop_the_store,
     isolate_the_coordinator,
 ]
@@ -217,7 +217,7 @@
 
 
 class WritersUnderFault:
-    """Callers of all proxies that write while a fault strikes, and the checks."""
+    """Callers that write through all proxies during a fault, and the final checks."""
 
     def __init__(self, bench):
         self.bench = bench
@@ -228,7 +228,7 @@
 
     async def __aenter__(self):
         self.tasks = [asyncio.create_task(writer.run()) for writer in self.writers]
-        await self.progress(3)
+        await self.wait_for_writes(3)
         return self
 
     async def __aexit__(self, *error):
@@ -237,8 +237,8 @@
         done = await asyncio.gather(*self.tasks, return_exceptions=True)
         assert all(isinstance(item, asyncio.CancelledError) for item in done), done
 
-    async def progress(self, count):
-        """Wait until each caller has that many more writes acknowledged."""
+    async def wait_for_writes(self, count):
+        """Wait until each caller has a number of further writes acknowledged."""
         wanted = [len(writer.acknowledged) + count for writer in self.writers]
         await until(
             lambda: all(
@@ -248,8 +248,8 @@
         )
 
     async def check(self):
-        """Mend everything and compare the logs with what the callers were told."""
-        await self.bench.settle()
+        """End all faults and compare the log with the reported outcomes."""
+        await self.bench.wait_until_converged()
         self.bench.check_terms()
         requests = self.bench.read_requests("up-1")
         for writer in self.writers:
@@ -262,18 +262,18 @@
     async with WritersUnderFault(bench) as callers:
         await failure(bench.standins)
         await until(lambda: bench.standins.primary() is not bench.standins["up-1"])
-        await callers.progress(2)
-        # The old primary comes back while the callers go on.
+        await callers.wait_for_writes(2)
+        # The old primary comes back while the callers continue to write.
         if not bench.standins["up-1"].is_running:
             await bench.standins.restart("up-1")
         bench.standins.thaw("up-1")
         bench.standins.heal()
-        await callers.progress(2)
+        await callers.wait_for_writes(2)
     await callers.check()
 
 
 def has_later_term(standins):
-    """Tell whether a primary runs in a later term than the first."""
+    """Return whether a primary runs in a later term than the first."""
     primary = standins.primary()
     return primary is not None and primary.term > 1
 
@@ -285,21 +285,21 @@
 ):
     bench = await start_bench(proxies=3)
     async with WritersUnderFault(bench) as callers:
-        strike = Strike(monkeypatch, bench, step)
-        fault(strike)
+        injector = FaultInjector(monkeypatch, bench, step)
+        fault(injector)
         bench.standins.freeze("up-1")
-        await until(lambda: strike.has_struck)
-        # A thawed upstream that holds the longest log may win the ballot again.
+        await until(lambda: injector.has_injected)
+        # A thawed up-1 with the longest log may be promoted again, so check the term.
         await until(lambda: has_later_term(bench.standins))
-        await callers.progress(1)
-        await asyncio.gather(*strike.tasks)
+        await callers.wait_for_writes(1)
+        await asyncio.gather(*injector.tasks)
         bench.network.cut.clear()
         bench.standins.thaw("up-1")
-        await callers.progress(1)
+        await callers.wait_for_writes(1)
     await callers.check()
 
 
-async def test_terms_of_a_store_outage_are_still_issued(start_bench):
+async def test_terms_are_still_issued_during_a_store_outage(start_bench):
     bench = await start_bench(proxies=1)
     bench.store.is_down = True
     proxy = bench.proxies["proxy-1"]
@@ -313,11 +313,11 @@
     bench.check_terms()
 
 
-async def test_a_paused_coordinator_looks_again_before_it_acts(start_bench):
+async def test_coordinator_polls_the_group_after_a_pause(start_bench):
     bench = await start_bench(proxies=1)
     proxy = bench.proxies["proxy-1"]
-    proxy.coordinator.pause.expected_s = now_s() - 10
-    assert proxy.coordinator.pause.measure_pause() > 0
+    proxy.coordinator.pause_detector.expected_s = now_s() - 10
+    assert proxy.coordinator.pause_detector.measure_pause() > 0
     answered_at_s = proxy.group.upstreams["up-1"].answered_at_s
     await proxy.coordinator.revalidate(10.0)
     assert proxy.group.upstreams["up-1"].answered_at_s > answered_at_s
--- a/ebonyrack/failover/group_machine_test.py
+++ b/ebonyrack/failover/group_machine_test.py
@@ -1,4 +1,4 @@
-"""Random faults against one group, checked against what callers were told."""
+"""Random faults in one group, checked against the outcomes reported to callers."""
 
 import asyncio
 from contextlib import AsyncExitStack
@@ -28,11 +28,11 @@
 PROXIES = ("proxy-1", "proxy-2", "proxy-3")
 UPSTREAMS = ("up-1", "up-2", "up-3")
 STEP_LIMIT_S = 60.0
-# Callers write on for this long after each step.
+# Time for callers to write after each step.
 STEP_TIME_S = 0.04
 LONG_LAG_S = 1.0
-# Many changes of term come in one example; renewals must come within its limits.
-QUICK_RENEWAL = {"SETTLE_S": 0.2, "LONGEST_PAUSE_S": 0.5}
+# An example has many term changes; renewals must still finish within its time limits.
+QUICK_RENEWAL = {"BALLOT_GRACE_S": 0.2, "LONGEST_PAUSE_S": 0.5}
 QUICK = {"probe_interval_s": 0.02, "suspect_after_s": 0.1, "lag_refusal_s": 1.0}
 QUICK |= {"slow_answer_s": 0.03, "slow_after_s": 0.1}
 SLOW_ANSWER_S = 0.06
@@ -43,22 +43,22 @@
     deadline=None,
     database=None,
     print_blob=False,
-    # Time passes between steps, so a shorter example need not fail in the same way.
+    # The outcome depends on timing, so a shrunk example need not fail in the same way.
     phases=(Phase.explicit, Phase.generate),
     suppress_health_check=list(HealthCheck),
 )
 
 
 class GatedBallot(Ballot):
-    """A ballot that waits between fence and promotion while its gate is closed."""
+    """A ballot that waits before the promotion while its gate is closed."""
 
-    async def promote(self, winner):
+    async def promote(self, candidate):
         await self.group.gate.wait()
-        return await super().promote(winner)
+        return await super().promote(candidate)
 
 
 class GroupMachine(RuleBasedStateMachine):
-    """Three upstreams, three proxies and callers that write through each."""
+    """Three upstreams, three proxies and a caller that writes through each."""
 
     safeguards = Safeguards()
     overrides = QUICK
@@ -77,7 +77,7 @@
         self.run(self.start_bench())
 
     def run(self, coroutine):
-        """Let the proxies run until a coroutine ends."""
+        """Run the event loop until a coroutine finishes."""
         limited = asyncio.wait_for(coroutine, STEP_LIMIT_S)
         return self.loop.run_until_complete(limited)
 
@@ -85,7 +85,7 @@
         self.standins = await self.stack.enter_async_context(StandinGroup())
         self.bench = Bench(self.standins, self.overrides)
         await self.stack.enter_async_context(self.bench.stack)
-        await self.bench.rival_terms.reserve(self.bench.store)
+        await self.bench.competing_terms.reserve(self.bench.store)
         for name in PROXIES:
             proxy = await self.bench.add_proxy(name, self.safeguards)
             proxy.group.gate = asyncio.Event()
@@ -121,7 +121,7 @@
 
     @rule(name=st.sampled_from(UPSTREAMS))
     def reimage(self, name):
-        """Let an upstream come back empty, once: two would be a majority's loss."""
+        """Reimage one upstream per example; two would lose the log of a majority."""
         if not self.is_reimaged:
             self.is_reimaged = True
             self.run(self.bring_back_empty(name))
@@ -176,7 +176,7 @@
         name=st.sampled_from(UPSTREAMS), delay_s=st.sampled_from([0.0, SLOW_ANSWER_S])
     )
     def slow_down(self, name, delay_s):
-        """Let an upstream answer late, but in time not to count as lost."""
+        """Delay an upstream's replies, but not enough for it to count as lost."""
         self.standins.delay(name, delay_s)
 
     @rule(lag_s=st.sampled_from([0.0, 0.02, 0.3]))
@@ -185,7 +185,7 @@
 
     @rule(name=st.sampled_from(UPSTREAMS))
     def let_one_lag(self, name):
-        """Let one upstream fall far behind."""
+        """Give one upstream a long replication lag."""
         self.standins[name].options.receive_delay_s = LONG_LAG_S
 
     @rule(name=st.sampled_from(UPSTREAMS))
@@ -200,24 +200,24 @@
 
     @rule(names=st.sets(st.sampled_from(PROXIES), min_size=1, max_size=2))
     def hold_ballots(self, names):
-        """Let coordinators hold ballots at once although nothing is wrong."""
+        """Start concurrent ballots although nothing has failed."""
         self.run(self.begin_ballots(names))
 
     @rule(names=st.sets(st.sampled_from(UPSTREAMS), min_size=1, max_size=2))
     def abandon_ballot(self, names):
-        """Fence upstreams in a term that nobody goes on with."""
+        """Fence upstreams in a term whose ballot is abandoned."""
         running = [name for name in sorted(names) if self.standins[name].is_running]
         self.run(self.bench.abandon_ballot(*running))
 
     async def begin_ballots(self, names):
         for name in sorted(names):
             coordinator = self.bench.proxies[name].coordinator
-            self.tasks.append(asyncio.create_task(coordinator.hold_ballot("test", {})))
+            self.tasks.append(asyncio.create_task(coordinator.run_ballot("test", {})))
         await asyncio.sleep(0.02)
 
     @rule(name=st.sampled_from(PROXIES), to=st.sampled_from(UPSTREAMS))
     def switch_over(self, name, to):
-        """Begin a planned switchover; under other faults it may fail."""
+        """Start a planned switchover, which may fail under other faults."""
         coordinator = self.bench.proxies[name].coordinator
         self.tasks.append(self.loop.create_task(coordinator.switch_over(to)))
 
@@ -238,16 +238,16 @@
     @rule(
         name=st.sampled_from(PROXIES),
         upstream_name=st.sampled_from(UPSTREAMS),
-        is_sent=st.booleans(),
+        takes_effect=st.booleans(),
     )
-    def lose_next_answer(self, name, upstream_name, is_sent):
-        """Lose the next call of a coordinator, before or after it takes effect."""
+    def lose_next_answer(self, name, upstream_name, takes_effect):
+        """Fail the next call of a coordinator, before or after it takes effect."""
         upstream = self.bench.proxies[name].group.upstreams[upstream_name]
         real = type(upstream).call
 
         async def lose(sql, timeout_s):
             del upstream.call
-            if is_sent:
+            if takes_effect:
                 await real(upstream, sql, timeout_s)
             raise UpstreamLostError("the answer was lost")
 
@@ -259,13 +259,13 @@
 
     @invariant()
     def no_task_has_failed(self):
-        """Let the callers write on, then raise what a write or ballot found wrong."""
+        """Let the callers write, then raise the error of a failed task."""
         if hasattr(self, "loop"):
             self.run(asyncio.sleep(STEP_TIME_S))
             self.check_tasks()
 
     def check_tasks(self):
-        """Raise the error of a task that ended with one."""
+        """Raise the error of a failed task, if any."""
         for task in self.tasks:
             if task.done():
                 task.result()
@@ -287,30 +287,30 @@
             self.loop.close()
 
     def has_progressed(self, seen):
-        """Tell whether each caller had a write acknowledged since."""
+        """Return whether each caller had another write acknowledged."""
         self.check_tasks()
         return all(
             len(self.writers[name].acknowledged) > count for name, count in seen.items()
         )
 
     async def end(self):
-        """Stop everything that the example started."""
+        """Stop everything that the example has started."""
         await self.end_tasks()
         await self.stack.aclose()
 
     async def end_tasks(self):
-        """Stop the callers and the ballots of the test."""
+        """Stop the callers and ballots."""
         for task in self.tasks:
             task.cancel()
         await asyncio.gather(*self.tasks, return_exceptions=True)
 
     def find_replicas(self):
-        """Return the replicas that the first proxy would let serve reads."""
+        """Return the names of the replicas that may serve reads of the first proxy."""
         group = self.bench.proxies[PROXIES[0]].group
         return [upstream.name for upstream in group.replicas()]
 
     async def finish(self):
-        """Mend everything, let the callers end, and check what they were told."""
+        """End all faults, stop the callers and check the outcomes reported to them."""
         self.bench.store.is_down = False
         self.bench.network.cut.clear()
         self.resume_all()
@@ -320,18 +320,18 @@
             for upstream in proxy.group.upstreams.values():
                 upstream.__dict__.pop("call", None)
                 proxy.group.mark_leaving(upstream.name, False)
-        await self.bench.mend()
+        await self.bench.end_faults()
         seen = {name: len(item.acknowledged) for name, item in self.writers.items()}
         await until(lambda: self.has_progressed(seen))
         await self.end_tasks()
         await until(lambda: len(self.find_replicas()) == len(UPSTREAMS) - 1)
         await self.bench.abandon_ballot(self.find_replicas()[0])
-        await self.bench.settle()
+        await self.bench.wait_until_converged()
         self.bench.check_terms()
         requests = self.bench.read_requests("up-1")
         for writer in self.writers.values():
             writer.check(requests)
 
 
-def test_no_fault_makes_the_group_break_a_promise():
+def test_random_faults_lose_no_acknowledged_write():
     run_state_machine_as_test(GroupMachine, settings=MACHINE_SETTINGS)
--- a/ebonyrack/failover/pre_vote.py
+++ b/ebonyrack/failover/pre_vote.py
@@ -1,4 +1,4 @@
-"""Question to the other proxies before a primary is replaced."""
+"""Pre-vote among the proxies before a primary is replaced."""
 
 from __future__ import annotations
 
@@ -24,23 +24,23 @@
     from ebonyrack.upstreams.group import DatabaseGroup
     from ebonyrack.upstreams.upstream import Upstream
 
-ASK_TIMEOUT_S = 0.15
-VOTERS = 4
-# A peer takes this long at most to poll the primary afresh before it answers.
-FRESH_POLL_S = 0.04
-# No peer may make this proxy hold its writes for longer.
-LONGEST_HOLD_S = 2.0
+PEER_TIMEOUT_S = 0.15
+MAXIMUM_VOTERS = 4
+# Limit on a peer's fresh poll of the primary before it replies.
+POLL_TIMEOUT_S = 0.04
+# Limit on the time for which a peer can make this proxy hold writes.
+MAXIMUM_HOLD_S = 2.0
 
 
 @dataclass(frozen=True, slots=True)
 class PreVote:
-    """Outcome of a pre-vote.
+    """Result of a pre-vote.
 
     Attributes:
         granted: Whether a ballot may begin.
-        asked: Peers that were asked.
-        reached: Peers that answered that they reach the primary.
-        unreached: Peers that answered that they don't.
+        asked: Number of peers that were asked.
+        reached: Number of peers that reported that they reach the primary.
+        unreached: Number of peers that reported that they don't.
     """
 
     granted: bool
@@ -49,31 +49,35 @@
     unreached: int
 
 
-async def ask_peers(
+async def collect_votes(
     group: DatabaseGroup, hub: PeerHub, membership: Membership, needs_votes: bool
 ) -> PreVote:
     """Ask other proxies whether they reach the group's primary.
 
-    A ballot is granted if more than half of those who know, this proxy included,
-    don't reach it. Without any live peer this proxy decides alone; with live peers
-    of which none answers it may be cut off itself, and waits.
+    A ballot is granted if more than half of those that replied, counting this proxy,
+    can't reach it. Without live peers this proxy decides alone. If there are live
+    peers but none replies, this proxy may be cut off itself and must wait.
 
     Args:
         group: The group.
         hub: Links to the peers.
-        membership: Table of proxies.
-        needs_votes: Whether votes count; otherwise only news of a higher term does.
+        membership: Membership table of the proxies.
+        needs_votes: Whether votes decide; otherwise only a higher term prevents the
+            ballot.
 
     Returns:
-        The outcome. News of a higher term is taken over and grants nothing.
+        The result. A higher term that a peer reports is recorded in the group and
+        denies the ballot.
     """
     term = group.term
-    own_name = membership.local.name
+    local_name = membership.local.name
     names = [member.name for member in membership.live_members()]
-    voters = [name for name in rank_members(group.name, names) if name != own_name]
-    voters = voters[:VOTERS]
+    voters = [name for name in rank_members(group.name, names) if name != local_name]
+    voters = voters[:MAXIMUM_VOTERS]
     message = AskPrimary(group.name, group.primary_name or "", term)
-    answers = await asyncio.gather(*(ask_peer(hub, name, message) for name in voters))
+    answers = await asyncio.gather(
+        *(request_vote(hub, name, message) for name in voters)
+    )
     opinions = [opinion for opinion in answers if opinion is not None]
     for opinion in opinions:
         group.record_primary(opinion.term, opinion.primary_name)
@@ -88,79 +92,79 @@
     return PreVote(granted, len(voters), reached, unreached)
 
 
-async def ask_peer(
+async def request_vote(
     hub: PeerHub, name: str, message: AskPrimary
 ) -> PrimaryOpinion | None:
-    """Ask one proxy.
+    """Request the vote of one proxy.
 
     Args:
         hub: Links to the peers.
         name: Name of the proxy.
-        message: The question.
+        message: The request.
 
     Returns:
-        Its opinion, or None if there was no answer in time.
+        Its reply, or None if there was none in time.
     """
     try:
-        reply = await hub.request(name, message, ASK_TIMEOUT_S)
+        reply = await hub.request(name, message, PEER_TIMEOUT_S)
     except PeerLostError:
         return None
     return reply if isinstance(reply, PrimaryOpinion) else None
 
 
-class OpinionDesk:
-    """Answers the other proxies' questions about primaries and takes their news.
+class PrimaryMessageHandler:
+    """Handles the messages of other proxies about primaries.
 
     Attributes:
-        groups: Database groups by name; the daemon's own table, which may change.
+        groups: Database groups by name; shared with the proxy, which changes it.
     """
 
     __slots__ = ("groups",)
 
     def __init__(self, hub: PeerHub, groups: dict[str, DatabaseGroup]) -> None:
         self.groups = groups
-        hub.register_handler(AskPrimary, self.answer)
-        hub.register_handler(PrimarySeen, self.take_news)
-        hub.register_handler(HoldWrites, self.hold_writes)
+        hub.register_handler(AskPrimary, self.handle_ask_primary)
+        hub.register_handler(PrimarySeen, self.handle_primary_seen)
+        hub.register_handler(HoldWrites, self.handle_hold_writes)
 
-    async def answer(self, link: PeerLink, message: AskPrimary) -> Message:
-        """Say whether this proxy reaches a group's primary.
+    async def handle_ask_primary(self, link: PeerLink, message: AskPrimary) -> Message:
+        """Reply whether this proxy reaches a group's primary.
 
         Args:
-            link: Link on which the question came.
-            message: The question.
+            link: Link on which the request arrived.
+            message: The request.
 
         Returns:
-            The opinion.
+            The reply.
         """
         group = self.groups.get(message.group)
         if group is None:
             return PrimaryOpinion(False, 0, "")
         group.record_primary(message.term, message.primary_name)
         primary = group.upstreams.get(group.primary_name or "")
-        reachable = primary is not None and await is_answering(group, primary)
+        reachable = primary is not None and await is_primary_reachable(group, primary)
         return PrimaryOpinion(reachable, group.term, group.primary_name or "")
 
-    async def take_news(self, link: PeerLink, message: PrimarySeen) -> None:
-        """Take over what a peer says of a primary.
+    async def handle_primary_seen(self, link: PeerLink, message: PrimarySeen) -> None:
+        """Record a primary that a peer announced.
 
         Args:
-            link: Link on which the news came.
-            message: The news.
+            link: Link on which the announcement arrived.
+            message: The announcement.
         """
         group = self.groups.get(message.group)
         if group is not None:
             group.record_primary(message.term, message.primary_name)
 
-    async def hold_writes(self, link: PeerLink, message: HoldWrites) -> Message:
-        """Let new writes wait while a peer moves the primary.
+    async def handle_hold_writes(self, link: PeerLink, message: HoldWrites) -> Message:
+        """Hold new writes while a peer moves the primary.
 
         Args:
-            link: Link on which the request came.
+            link: Link on which the request arrived.
             message: The request.
 
         Returns:
-            Whether no request of this proxy uses the primary any more.
+            Whether all requests of this proxy on the primary have finished.
         """
         group = self.groups.get(message.group)
         if group is None or group.term != message.term:
@@ -168,27 +172,27 @@
         if message.hold_ms == 0:
             group.release_writes()
             return WritesHeld(True)
-        hold_s = min(message.hold_ms / 1000, LONGEST_HOLD_S)
+        hold_s = min(message.hold_ms / 1000, MAXIMUM_HOLD_S)
         group.hold_writes(hold_s)
         return WritesHeld(await group.drain_primary(hold_s / 2))
 
 
-async def is_answering(group: DatabaseGroup, primary: Upstream) -> bool:
-    """Tell whether a primary answers this proxy, and not slowly for long.
+async def is_primary_reachable(group: DatabaseGroup, primary: Upstream) -> bool:
+    """Check whether a primary answers this proxy and is not slow.
 
     Args:
         group: The group.
         primary: Its primary.
 
     Returns:
-        Whether it answers a poll now; if that takes too long, whether it has
-        answered within the time after which it would count as lost. One that was
-        slow at each poll for `slow_after_s` does not count.
+        Whether it answers a poll now or, if the poll times out, has answered within
+        the last `suspect_after_s`. A primary that was slow at every poll for
+        `slow_after_s` counts as not reachable.
     """
     if primary.state == "lost" or primary.is_slow:
         return False
     try:
-        async with asyncio.timeout(FRESH_POLL_S):
+        async with asyncio.timeout(POLL_TIMEOUT_S):
             await primary.poll()
     except TimeoutError:
         age_s = now_s() - (primary.answered_at_s or 0.0)
--- a/ebonyrack/failover/ranking.py
+++ b/ebonyrack/failover/ranking.py
@@ -1,4 +1,4 @@
-"""Which proxies coordinate a group, and in which order they act."""
+"""Ranking of the proxies that coordinate the failover of a group."""
 
 from __future__ import annotations
 
@@ -8,18 +8,18 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-COORDINATORS = 3
+COORDINATORS_PER_GROUP = 3
 
 
 def rank_members(group_name: str, member_names: Iterable[str]) -> list[str]:
-    """Order proxies by rendezvous hash, so that a change of one moves no other.
+    """Order proxies by rendezvous hash, which keeps the order of the others stable.
 
     Args:
         group_name: Name of the group.
         member_names: Names of the live proxies.
 
     Returns:
-        The names; the first `COORDINATORS` coordinate the group.
+        The names; the first `COORDINATORS_PER_GROUP` coordinate the group.
     """
 
     def compute_weight(name: str) -> bytes:
--- a/ebonyrack/failover/renewal_test.py
+++ b/ebonyrack/failover/renewal_test.py
@@ -1,4 +1,4 @@
-"""Upstreams that a ballot fenced and left behind come back by a renewed term."""
+"""Term renewal brings back upstreams that an abandoned ballot fenced."""
 
 from ebonyrack.core.clock import now_s
 from ebonyrack.failover.bench_test import until
@@ -8,7 +8,7 @@
 async def test_replica_fenced_by_an_abandoned_ballot_comes_back(start_bench):
     bench = await start_bench(proxies=3)
     term = await bench.abandon_ballot("up-3")
-    await until(bench.is_settled)
+    await until(bench.is_converged)
     assert bench.standins.primary().name == "up-1"
     assert bench.standins.primary().term > term
     for name, proxy in bench.proxies.items():
@@ -24,7 +24,7 @@
     assert bench.read_requests("up-3") == ["r-0"]
 
 
-async def test_renewal_cuts_no_write_and_no_transaction(start_bench):
+async def test_renewal_interrupts_no_write_and_no_transaction(start_bench):
     bench = await start_bench(proxies=3)
     first, second = bench.by_rank()[:2]
     primary = second.group.primary()
@@ -35,7 +35,7 @@
     answer = await connection.query("COMMIT", 5.0)
     assert answer.error is None
     primary.pool.release(connection)
-    written = await bench.write_while(lambda: not bench.is_settled())
+    written = await bench.write_while(lambda: not bench.is_converged())
     assert sorted(bench.read_requests("up-3")) == sorted(written)
 
 
@@ -46,12 +46,12 @@
     for name in killed:
         await bench.standins.kill(name)
     upstreams = proxy.group.upstreams
-    # The time that a renewal waits, taken away below, is there for this to be seen.
+    # The grace period, skipped below, exists so that lost upstreams are detected first.
     await until(lambda: not any(upstreams[name].is_reachable for name in killed))
     term = await bench.abandon_ballot("up-5")
     renewal = proxy.coordinator.renewal
-    await until(lambda: renewal.ahead_since_s is not None)
-    renewal.ahead_since_s -= 60.0
+    await until(lambda: renewal.fenced_above_since_s is not None)
+    renewal.fenced_above_since_s -= 60.0
     renewal.changes.clear()
     for _ in range(20):
         await proxy.group.poll_all()
@@ -71,13 +71,15 @@
     pauses = [renewal.compute_pause(is_urgent=False)]
     for _ in range(2):
         await bench.abandon_ballot("up-3")
-        await until(bench.is_settled)
+        await until(bench.is_converged)
         await until(lambda: renewal.term == bench.standins.primary().term)
         pauses.append(renewal.compute_pause(is_urgent=False))
     assert pauses == sorted(set(pauses))
 
 
-async def test_promise_of_a_fenced_replica_is_not_taken_back(start_bench, monkeypatch):
+async def test_fenced_replica_is_never_ordered_to_follow_a_lower_term(
+    start_bench, monkeypatch
+):
     orders = []
     real = StandinUpstream.follow
 
@@ -88,7 +90,7 @@
     bench = await start_bench(proxies=2)
     monkeypatch.setattr(StandinUpstream, "follow", follow)
     await bench.abandon_ballot("up-3")
-    await until(bench.is_settled)
+    await until(bench.is_converged)
     assert orders
     assert all(term >= fenced_term for term, fenced_term in orders)
 
@@ -97,7 +99,7 @@
     bench = await start_bench(proxies=3)
     renewals = [proxy.coordinator.renewal for proxy in bench.by_rank()]
     for renewal in renewals:
-        renewal.ahead_since_s = 0.0
+        renewal.fenced_above_since_s = 0.0
         renewal.changes.clear()
         renewal.changes.append(now_s() - renewal.compute_pause(False) * 2.0 - 0.01)
     due = [item.is_due(rank, False) for rank, item in enumerate(renewals)]
--- a/ebonyrack/failover/safeguards.py
+++ b/ebonyrack/failover/safeguards.py
@@ -1,4 +1,4 @@
-"""Safeguards of failover, each of which a test can switch off."""
+"""Safety rules of failover, which tests can disable one by one."""
 
 from __future__ import annotations
 
@@ -7,17 +7,18 @@
 
 @dataclass(frozen=True, slots=True)
 class Safeguards:
-    """What keeps acknowledged writes through a failover.
+    """Rules that protect acknowledged writes and healthy primaries in a failover.
 
-    Only tests switch one off, to show what it prevents.
+    Only tests disable one, to show what it prevents.
 
     Attributes:
         needs_majority: A primary is promoted only if a majority granted the term.
-        picks_highest: The most advanced upstream among them is promoted.
-        asks_peers: The other proxies are asked before a primary that does not
+        promotes_most_advanced: Of the upstreams that granted the term, the one with
+            the highest log position is promoted.
+        needs_pre_vote: The other proxies are asked before a primary that does not
             answer this one is replaced.
     """
 
     needs_majority: bool = True
-    picks_highest: bool = True
-    asks_peers: bool = True
+    promotes_most_advanced: bool = True
+    needs_pre_vote: bool = True
--- a/ebonyrack/failover/safeguards_test.py
+++ b/ebonyrack/failover/safeguards_test.py
@@ -1,4 +1,4 @@
-"""What each safeguard prevents, shown by switching it off."""
+"""Each safeguard prevents a failure that occurs when it is disabled."""
 
 import pytest
 
@@ -17,7 +17,7 @@
 
 
 async def write_with_one_replica_behind(bench, proxy):
-    """Let up-2 alone confirm a write that up-3 lacks."""
+    """Write a booking that up-2 confirms and up-3 does not receive."""
     bench.standins["up-3"].options.receive_delay_s = 60.0
     await proxy.write("r-0")
     assert bench.read_requests("up-2") == ["r-0"]
@@ -27,7 +27,7 @@
 @pytest.mark.parametrize(
     ("policy", "kept"), [("majority", ["r-0"]), ("primary_alone", [])]
 )
-async def test_acknowledgement_by_a_majority_survives_the_primary(
+async def test_write_acknowledged_by_a_majority_survives_the_primary(
     start_bench, policy, kept
 ):
     bench, proxy = await start_with(
@@ -41,11 +41,13 @@
     assert bench.read_requests(proxy.group.primary_name) == kept
 
 
-@pytest.mark.parametrize(("picks_highest", "kept"), [(True, ["r-0"]), (False, [])])
-async def test_most_advanced_upstream_keeps_what_was_acknowledged(
-    start_bench, picks_highest, kept
+@pytest.mark.parametrize(
+    ("promotes_most_advanced", "kept"), [(True, ["r-0"]), (False, [])]
+)
+async def test_promotion_of_the_most_advanced_keeps_acknowledged_writes(
+    start_bench, promotes_most_advanced, kept
 ):
-    safeguards = Safeguards(picks_highest=picks_highest)
+    safeguards = Safeguards(promotes_most_advanced=promotes_most_advanced)
     bench, proxy = await start_with(start_bench, safeguards)
     await write_with_one_replica_behind(bench, proxy)
     await bench.standins.kill("up-1")
@@ -54,7 +56,7 @@
 
 
 @pytest.mark.parametrize("needs_majority", [True, False])
-async def test_majority_of_grants_keeps_what_was_acknowledged(
+async def test_majority_of_grants_keeps_acknowledged_writes(
     start_bench, needs_majority
 ):
     safeguards = Safeguards(needs_majority=needs_majority)
@@ -67,27 +69,29 @@
         assert proxy.group.primary_name == "up-1"
     else:
         await until(lambda: proxy.group.primary_name == "up-3")
-    await bench.settle()
+    await bench.wait_until_converged()
     assert bench.read_requests("up-3") == (["r-0"] if needs_majority else [])
 
 
-@pytest.mark.parametrize("asks_peers", [True, False])
-async def test_peers_keep_a_bad_link_from_deposing_a_primary(start_bench, asks_peers):
+@pytest.mark.parametrize("needs_pre_vote", [True, False])
+async def test_pre_vote_keeps_the_primary_when_one_link_is_broken(
+    start_bench, needs_pre_vote
+):
     bench = await start_bench(proxies=0)
     for number in range(3):
-        safeguards = Safeguards(asks_peers=asks_peers)
+        safeguards = Safeguards(needs_pre_vote=needs_pre_vote)
         await bench.add_proxy(f"proxy-{number + 1}", safeguards)
     await until(lambda: all(proxy.group.primary() for proxy in bench.proxies.values()))
     upstream = bench.by_rank()[0].group.upstreams["up-1"]
 
     async def fail(deadline_s):
-        raise UpstreamLostError("the link is cut")
+        raise UpstreamLostError("the link is down")
 
     upstream.query_status = fail
     await until(lambda: upstream.state == "lost")
-    if asks_peers:
+    if needs_pre_vote:
         for _ in range(20):
             await bench.by_rank()[1].group.poll_all()
     else:
         await until(lambda: bench.by_rank()[1].group.term > 1)
-    assert (bench.by_rank()[1].group.term == 1) is asks_peers
+    assert (bench.by_rank()[1].group.term == 1) is needs_pre_vote
--- a/ebonyrack/failover/slowness_test.py
+++ b/ebonyrack/failover/slowness_test.py
@@ -1,4 +1,4 @@
-"""A primary that answers slowly is moved, unless that would not help."""
+"""A slow primary is replaced unless that would not help."""
 
 import asyncio
 
@@ -15,55 +15,57 @@
 
 @pytest.fixture(autouse=True)
 def no_pause(monkeypatch):
-    """Let a slow primary be moved right after the start."""
+    """Allow a switchover right after the start."""
     monkeypatch.setattr(slowness_module, "PAUSE_FACTOR", 0.0)
 
 
-async def check_often(slowness):
-    """Let a coordinator judge again and again without the pause between tries."""
+async def check_repeatedly(slowness):
+    """Run the check repeatedly without the interval between attempts."""
     for _ in range(20):
         await slowness.group.poll_all()
-        slowness.tried_at_s = 0.0
+        slowness.attempted_at_s = 0.0
         await slowness.check()
 
 
-async def test_slow_primary_is_moved_and_no_write_is_cut(start_bench):
+async def test_slow_primary_is_replaced_without_interrupting_writes(start_bench):
     bench = await start_bench(proxies=3, **SLOW)
     bench.standins.delay("up-1", DELAY_S)
     groups = [proxy.group for proxy in bench.proxies.values()]
     written = await bench.write_while(
         lambda: any(group.primary_name == "up-1" for group in groups)
     )
-    await until(bench.is_settled)
+    await until(bench.is_converged)
     assert sorted(bench.read_requests("up-1")) == sorted(written)
 
 
-async def test_equally_slow_group_is_left_alone(start_bench):
+async def test_primary_stays_if_all_upstreams_are_equally_slow(start_bench):
     bench = await start_bench(proxies=3, **SLOW)
     for name in bench.standins.names:
         bench.standins.delay(name, DELAY_S)
     first = bench.by_rank()[0]
     groups = [proxy.group for proxy in bench.proxies.values()]
     await until(lambda: all(group.upstreams["up-1"].is_slow for group in groups))
-    await check_often(first.coordinator.slowness)
+    await check_repeatedly(first.coordinator.slowness)
     assert {group.term for group in groups} == {1}
 
 
-async def test_slow_primary_stays_while_one_replica_alone_is_fast(start_bench):
+async def test_slow_primary_stays_while_only_one_replica_is_fast(start_bench):
     bench = await start_bench(proxies=1, **SLOW)
     proxy = bench.proxies["proxy-1"]
     for name in ("up-1", "up-2"):
         bench.standins.delay(name, DELAY_S)
     await until(lambda: proxy.group.upstreams["up-1"].is_slow)
-    await check_often(proxy.coordinator.slowness)
+    await check_repeatedly(proxy.coordinator.slowness)
     assert proxy.group.term == 1
 
 
-@pytest.mark.parametrize("asks_peers", [True, False])
-async def test_one_proxys_slow_link_moves_nothing(start_bench, asks_peers):
+@pytest.mark.parametrize("needs_pre_vote", [True, False])
+async def test_slow_link_of_one_proxy_does_not_move_the_primary(
+    start_bench, needs_pre_vote
+):
     bench = await start_bench(proxies=0, **SLOW)
     for number in range(3):
-        safeguards = Safeguards(asks_peers=asks_peers)
+        safeguards = Safeguards(needs_pre_vote=needs_pre_vote)
         await bench.add_proxy(f"proxy-{number + 1}", safeguards)
     groups = [proxy.group for proxy in bench.proxies.values()]
     await until(lambda: all(group.primary() for group in groups))
@@ -72,20 +74,20 @@
     upstream = first.group.upstreams["up-1"]
     query_status = upstream.query_status
 
-    async def ask_slowly(deadline_s):
+    async def query_slowly(deadline_s):
         await asyncio.sleep(DELAY_S)
         return await query_status(deadline_s)
 
-    upstream.query_status = ask_slowly
-    if not asks_peers:
+    upstream.query_status = query_slowly
+    if not needs_pre_vote:
         await until(lambda: first.group.term > 1)
         return
     await until(lambda: upstream.is_slow)
-    await check_often(first.coordinator.slowness)
+    await check_repeatedly(first.coordinator.slowness)
     assert {group.term for group in groups} == {1}
 
 
-async def test_open_transaction_is_rolled_back_only_after_some_tries(start_bench):
+async def test_open_transaction_is_rolled_back_only_after_some_attempts(start_bench):
     bench = await start_bench(**SLOW)
     proxy = bench.proxies["proxy-1"]
     slowness = proxy.coordinator.slowness
@@ -93,13 +95,13 @@
     connection = await primary.pool.acquire("tests", now_s() + 5)
     await connection.query("BEGIN", 5.0)
     bench.standins.delay("up-1", DELAY_S)
-    await until(lambda: slowness.tries == slowness_module.UNFORCED_TRIES)
+    await until(lambda: slowness.failed_attempts == slowness_module.UNFORCED_ATTEMPTS)
     assert not connection.is_closed
     await until(lambda: proxy.group.primary_name != "up-1")
     primary.pool.release(connection)
 
 
-async def test_one_answer_in_time_ends_a_row_of_slow_ones(start_bench):
+async def test_one_fast_poll_resets_slowness(start_bench):
     bench = await start_bench(slow_answer_s=0.05, slow_after_s=0.001)
     upstream = bench.proxies["proxy-1"].group.upstreams["up-1"]
     upstream.slow_since_s = now_s() - 60.0
@@ -110,7 +112,7 @@
     assert not upstream.is_slow
     upstream.record_poll_time(0.06)
     assert not upstream.is_slow
-    # A pause of this process makes one poll slow, however long it was.
+    # One slow poll is not enough, however long it took: this process may have paused.
     upstream.slow_since_s = now_s() - 60.0
     upstream.answered_at_s = now_s()
     assert not upstream.is_slow
--- a/ebonyrack/failover/switchover.py
+++ b/ebonyrack/failover/switchover.py
@@ -1,4 +1,4 @@
-"""Planned move of a primary: no acknowledged write lost, no request cut."""
+"""Planned switchover: moves a primary without lost writes or cut requests."""
 
 from __future__ import annotations
 
@@ -20,23 +20,23 @@
     from ebonyrack.upstreams.group import DatabaseGroup
     from ebonyrack.upstreams.upstream import Upstream
 
-# New writes are held at most this long.
+# Limit on how long new writes are held.
 HOLD_S = 1.0
-DRAIN_S = 0.6
-CATCH_UP_S = 0.3
-ASK_TIMEOUT_S = 0.8
-RETRY_S = 0.5
-# A primary that has been leaving for longer is replaced even under open transactions.
+DRAIN_TIMEOUT_S = 0.6
+CATCH_UP_TIMEOUT_S = 0.3
+PEER_TIMEOUT_S = 0.8
+RETRY_INTERVAL_S = 0.5
+# A primary that has been leaving for longer is replaced despite open transactions.
 FORCE_AFTER_S = 1.2
 
 
 @dataclass(frozen=True, slots=True)
 class SwitchoverOutcome:
-    """How a planned switchover ended.
+    """Result of a planned switchover.
 
     Attributes:
-        succeeded: Whether the wanted upstream is primary now.
-        text: The new primary, or why it failed.
+        succeeded: Whether the target is primary now.
+        text: The new primary, or why the switchover failed.
     """
 
     succeeded: bool
@@ -47,16 +47,16 @@
     """Moves the primary of one group on request or when it is leaving.
 
     Attributes:
-        coordinator: The group's coordinator, which holds the ballot.
-        tried_at_s: Monotonic time of the last try.
-        lock: Held by the move or renewal in work.
+        coordinator: The group's coordinator, which runs the ballot.
+        attempted_at_s: Monotonic time of the last attempt.
+        lock: Held while a switchover or renewal runs.
     """
 
-    __slots__ = ("coordinator", "tried_at_s", "lock")
+    __slots__ = ("coordinator", "attempted_at_s", "lock")
 
     def __init__(self, coordinator: Coordinator) -> None:
         self.coordinator = coordinator
-        self.tried_at_s = 0.0
+        self.attempted_at_s = 0.0
         self.lock = asyncio.Lock()
 
     @property
@@ -66,7 +66,7 @@
 
     @property
     def is_moving(self) -> bool:
-        """Whether this proxy or a peer moves the primary now."""
+        """Whether this proxy or a peer is moving the primary now."""
         return self.lock.locked() or self.group.writes_held_until_s > now_s()
 
     async def check(self) -> None:
@@ -74,9 +74,9 @@
         primary = self.group.upstreams.get(self.group.primary_name or "")
         if primary is None or not primary.is_leaving:
             return
-        if now_s() - self.tried_at_s < RETRY_S:
+        if now_s() - self.attempted_at_s < RETRY_INTERVAL_S:
             return
-        self.tried_at_s = now_s()
+        self.attempted_at_s = now_s()
         since_s = self.group.leaving_since_s.get(primary.name, now_s())
         forced = now_s() - since_s > FORCE_AFTER_S
         outcome = await self.run(None, forced)
@@ -90,14 +90,15 @@
         )
 
     async def run(self, to: str | None, forced: bool) -> SwitchoverOutcome:
-        """Hold new writes, let the target catch up, and hold a ballot.
+        """Move the primary to another upstream.
 
         Args:
-            to: Upstream to promote, or None for the most advanced replica.
-            forced: Whether to go on although transactions are still open.
+            to: Name of the upstream to promote, or None for the most advanced
+                replica.
+            forced: Whether to continue although transactions are still open.
 
         Returns:
-            How it ended.
+            The result.
         """
         async with self.lock:
             primary = self.group.primary() or self.group.upstreams.get(
@@ -112,33 +113,33 @@
             return await self.move("switchover", primary, target, forced)
 
     async def renew(self, forced: bool) -> SwitchoverOutcome:
-        """Promote the present primary again, in a new term.
+        """Promote the current primary again in a new term.
 
         Args:
-            forced: Whether to go on although transactions are still open.
+            forced: Whether to continue although transactions are still open.
 
         Returns:
-            How it ended.
+            The result.
         """
         async with self.lock:
             primary = self.group.primary()
             if primary is None:
-                return SwitchoverOutcome(False, "no primary serves")
+                return SwitchoverOutcome(False, "the group has no primary")
             return await self.move("renewal", primary, primary, forced)
 
     async def move(
         self, reason: str, primary: Upstream, target: Upstream, forced: bool
     ) -> SwitchoverOutcome:
-        """Hold new writes, drain the primary and hold a ballot for the target.
+        """Hold new writes, drain the primary, let the target catch up and promote it.
 
         Args:
             reason: Why, for the log.
-            primary: The present primary.
+            primary: The current primary.
             target: The upstream to promote.
-            forced: Whether to go on although transactions are still open.
+            forced: Whether to continue although transactions are still open.
 
         Returns:
-            How it ended.
+            The result.
         """
         term = self.group.term
         started_s = now_s()
@@ -149,26 +150,26 @@
             if not await self.catch_up(primary, target):
                 return SwitchoverOutcome(False, f"{target.name} does not catch up")
             if self.group.term != term:
-                return SwitchoverOutcome(False, "the primary has changed meanwhile")
-            parts = {"hold_s": now_s() - started_s}
-            outcome = await self.coordinator.hold_ballot(
-                reason, parts, preferred=target.name
+                return SwitchoverOutcome(False, "the primary changed in the meantime")
+            durations_s = {"hold_s": now_s() - started_s}
+            outcome = await self.coordinator.run_ballot(
+                reason, durations_s, preferred=target.name
             )
         finally:
-            await self.release()
+            await self.release_all_writes()
         if not outcome.won:
             return SwitchoverOutcome(False, outcome.reason)
         succeeded = outcome.primary_name == target.name
         return SwitchoverOutcome(succeeded, f"primary is {outcome.primary_name}")
 
     def choose_target(self, to: str | None) -> Upstream | None:
-        """Choose the upstream that is to become primary.
+        """Choose the upstream to promote.
 
         Args:
             to: Its name, or None for the most advanced replica.
 
         Returns:
-            The upstream, or None if there is none that could.
+            The upstream, or None if there is no suitable one.
         """
         if to is not None and to == self.group.primary_name:
             return self.group.primary()
@@ -180,35 +181,38 @@
         return max(candidates, key=rank_target, default=None)
 
     async def drain(self) -> bool:
-        """Wait until no transaction of any proxy runs on the primary.
+        """Wait until no transaction of any proxy is open on the primary.
 
         Returns:
-            Whether all ended in time. A proxy that can't be asked is not waited for;
-            the fence rolls its open transactions back, and it answers "not run".
+            Whether all finished in time. An unreachable proxy is not waited for; the
+            fence rolls back its open transactions, which it reports as not run.
         """
         message = HoldWrites(self.group.name, self.group.term, round(HOLD_S * 1000))
         drained = await asyncio.gather(
-            self.group.drain_primary(DRAIN_S), *self.ask_peers(message)
+            self.group.drain_primary(DRAIN_TIMEOUT_S),
+            *self.build_hold_requests(message),
         )
         return all(drained)
 
-    def ask_peers(self, message: HoldWrites) -> list[Coroutine[None, None, bool]]:
-        """Build the request to each live peer.
+    def build_hold_requests(
+        self, message: HoldWrites
+    ) -> list[Coroutine[None, None, bool]]:
+        """Build a hold request to each live peer.
 
         Args:
             message: The request.
 
         Returns:
-            Coroutines that tell whether the peer has no transaction open.
+            Coroutines that return whether the peer has no open transaction.
         """
         membership = self.coordinator.membership
         return [
-            self.ask_peer(member.name, message)
+            self.hold_peer_writes(member.name, message)
             for member in membership.live_members()
             if member.name != membership.local.name
         ]
 
-    async def ask_peer(self, name: str, message: HoldWrites) -> bool:
+    async def hold_peer_writes(self, name: str, message: HoldWrites) -> bool:
         """Ask one peer to hold its writes.
 
         Args:
@@ -216,42 +220,42 @@
             message: The request.
 
         Returns:
-            Whether it has no transaction open, or can't be asked.
+            Whether it has no open transaction or is unreachable.
         """
         try:
-            reply = await self.coordinator.hub.request(name, message, ASK_TIMEOUT_S)
+            reply = await self.coordinator.hub.request(name, message, PEER_TIMEOUT_S)
         except PeerLostError:
             return True
         return not isinstance(reply, WritesHeld) or reply.is_drained
 
-    async def release(self) -> None:
-        """Let the writes of every proxy go on."""
+    async def release_all_writes(self) -> None:
+        """Resume the writes of every proxy."""
         self.group.release_writes()
         message = HoldWrites(self.group.name, self.group.term, 0)
-        await asyncio.gather(*self.ask_peers(message))
+        await asyncio.gather(*self.build_hold_requests(message))
 
     async def catch_up(self, primary: Upstream, target: Upstream) -> bool:
-        """Wait until the target has received all that the primary has.
+        """Wait until the target has received the primary's whole log.
 
         Args:
             primary: The primary.
             target: The upstream to promote.
 
         Returns:
-            Whether it has.
+            Whether it caught up in time.
         """
         if target is primary:
             return True
         try:
             wanted = (await primary.poll()).received
-            status = await target.poll(wanted, CATCH_UP_S, received=True)
+            status = await target.poll(wanted, CATCH_UP_TIMEOUT_S, received=True)
         except UpstreamLostError:
             return False
         return status.received >= wanted
 
 
 def rank_target(upstream: Upstream) -> tuple[bool, int, int]:
-    """Return the key by which targets compare: not slow, then far advanced."""
+    """Return the sort key of a target: not slow first, then log position."""
     if upstream.status is None:
         return (False, 0, 0)
     received = upstream.status.received
--- a/ebonyrack/failover/terms.py
+++ b/ebonyrack/failover/terms.py
@@ -1,4 +1,4 @@
-"""Terms that no other process ever uses."""
+"""Allocation of terms that are unique to this process."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
     from ebonyrack.store.consul_store import ConsulStore
 
 SLOT_COUNTER_KEY = "term-slots"
-# Terms are `round * MAXIMUM_SLOTS + slot`.
+# A term is `round * MAXIMUM_SLOTS + slot`.
 MAXIMUM_SLOTS = 2**20
 FIRST_RETRY_S = 0.1
 LONGEST_RETRY_S = 2.0
@@ -21,12 +21,11 @@
 class TermSource:
     """Issues the terms of one process.
 
-    A slot number is reserved once from a counter in the store; no other process
-    ever gets the same. A slot gives a term in every round, so failover needs the
-    store no more after that.
+    Each process reserves a unique slot number once, from a counter in the store. The
+    slot yields one term per round, so later failovers don't need the store.
 
     Attributes:
-        slot: The reserved number, or None.
+        slot: The reserved slot number, or None.
         last_term: Highest term that was issued.
     """
 
@@ -37,9 +36,9 @@
         self.last_term = 0
 
     async def reserve(self, store: ConsulStore) -> None:
-        """Reserve a slot, trying again until the store grants one.
+        """Reserve a slot; retry until it succeeds.
 
-        An answer that is lost costs one number: the next try takes the one after.
+        A lost reply wastes one slot number, as the next attempt reserves another.
 
         Args:
             store: The platform's store.
@@ -49,7 +48,7 @@
         """
         delay_s = FIRST_RETRY_S
         while self.slot is None:
-            self.slot = await reserve_next(store)
+            self.slot = await reserve_next_slot(store)
             if self.slot is None:
                 await asyncio.sleep(random.uniform(delay_s / 2, delay_s))
                 delay_s = min(2 * delay_s, LONGEST_RETRY_S)
@@ -62,7 +61,7 @@
             above: Highest term known so far.
 
         Returns:
-            The smallest unused term of the slot above it, or None without a slot.
+            The lowest unused term of the slot above it, or None without a slot.
         """
         if self.slot is None:
             return None
@@ -74,14 +73,14 @@
         return term
 
 
-async def reserve_next(store: ConsulStore) -> int | None:
-    """Try once to take the next number of the counter.
+async def reserve_next_slot(store: ConsulStore) -> int | None:
+    """Attempt once to reserve the next slot number.
 
     Args:
         store: The platform's store.
 
     Returns:
-        The number, or None if another process was faster or the store failed.
+        The slot number, or None if another process was faster or the store failed.
 
     Raises:
         OverflowError: If every slot number has been used.
@@ -93,7 +92,7 @@
     value = found.unwrap()
     slot = int(value.value) + 1 if value is not None else 1
     if slot >= MAXIMUM_SLOTS:
-        raise OverflowError("every slot of the term counter has been used")
+        raise OverflowError("all slots of the term counter have been used")
     index = value.index if value is not None else 0
     swapped = await store.compare_and_swap(SLOT_COUNTER_KEY, b"%d" % slot, index)
     if swapped.is_err():
--- a/ebonyrack/failover/terms_test.py
+++ b/ebonyrack/failover/terms_test.py
@@ -10,14 +10,14 @@
 from ebonyrack.failover.terms import TermSource
 
 
-async def test_processes_that_start_at_once_get_different_slots():
+async def test_processes_that_start_concurrently_get_different_slots():
     store = FakeStore()
     sources = [TermSource() for _ in range(8)]
     await asyncio.gather(*(source.reserve(store) for source in sources))
     assert len({source.slot for source in sources}) == 8
 
 
-async def test_a_lost_answer_costs_a_number_and_no_more():
+async def test_lost_reply_wastes_one_slot():
     store = FakeStore()
     store.lost_answers = 1
     first, second = TermSource(), TermSource()
@@ -38,7 +38,7 @@
     assert source.next_term(0) == source.slot
 
 
-async def test_a_used_up_counter_is_an_error():
+async def test_exhausted_counter_raises_an_error():
     store = FakeStore()
     await store.compare_and_swap(SLOT_COUNTER_KEY, b"%d" % (MAXIMUM_SLOTS - 1), 0)
     with pytest.raises(OverflowError):
@@ -50,7 +50,7 @@
     st.integers(1, MAXIMUM_SLOTS - 1),
     st.lists(st.tuples(st.booleans(), st.integers(0, 2**60)), max_size=20),
 )
-def test_terms_rise_and_are_never_issued_twice(one, other, calls):
+def test_terms_increase_and_are_never_issued_twice(one, other, calls):
     sources = {True: TermSource(), False: TermSource()}
     sources[True].slot, sources[False].slot = one, other
     issued = {True: [], False: []}
