--- a/ebonyrack/service/__init__.py
+++ b/ebonyrack/service/__init__.py
@@ -1,1 +1,1 @@
-"""The running proxy: its parts put together, drain and status."""
+"""The proxy process: its components, shutdown and operator commands."""
--- a/ebonyrack/service/shares.py
+++ b/ebonyrack/service/connection_share.py
@@ -1,4 +1,4 @@
-"""Shares of an upstream's scarce connections between the proxies."""
+"""Division of an upstream's connections between the proxies."""
 
 from __future__ import annotations
 
@@ -8,12 +8,12 @@
     from ebonyrack.config.sections import GroupSection
 
 
-def compute_share(section: GroupSection, live_proxies: int) -> int:
+def compute_connection_share(section: GroupSection, live_proxies: int) -> int:
     """Divide an upstream's connections evenly between the live proxies.
 
     Args:
-        section: The group.
-        live_proxies: Proxies alive, this one included.
+        section: The group's section of the document.
+        live_proxies: Number of live proxies, including this one.
 
     Returns:
         Connections that one proxy may open to each upstream, at least 1.
--- a/ebonyrack/service/drain.py
+++ b/ebonyrack/service/drain.py
@@ -1,4 +1,4 @@
-"""The life cycle of a proxy: starting, serving, draining, stopped."""
+"""Life cycle of a proxy: starting, serving, finishing and stopped."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 
 
 class Drain:
-    """Whether the proxy serves, finishes its work or has ended.
+    """State machine of the life cycle, with graceful and forced shutdown.
 
     Attributes:
         state: `starting`, `serving`, `finishing` or `stopped`.
-        requested: Set once a shutdown was asked for.
-        forced: Set once the rest of the work is to be cut.
+        requested: Set once a shutdown was requested.
+        forced: Set once a second request asked to cut the remaining work.
     """
 
     state: str
@@ -43,17 +43,17 @@
 
     @property
     def is_draining(self) -> bool:
-        """Whether no new work is taken any more."""
+        """Whether a shutdown was requested and new work is rejected."""
         return self.requested.is_set()
 
     def request(self, reason: str) -> None:
-        """Ask for a graceful shutdown; asking twice cuts what still runs.
+        """Request a graceful shutdown; a second request cuts the remaining work.
 
         Args:
             reason: Signal or command, for the log.
         """
         if self.requested.is_set():
-            logger.bind(reason=reason).warning("shutdown_hurried")
+            logger.bind(reason=reason).warning("shutdown_forced")
             self.forced.set()
             return
         logger.bind(reason=reason).info("shutdown_requested")
--- a/ebonyrack/service/drain_test.py
+++ b/ebonyrack/service/drain_test.py
@@ -1,7 +1,7 @@
 from ebonyrack.service.drain import Drain
 
 
-async def test_a_second_request_hurries_the_shutdown():
+async def test_a_second_request_forces_the_shutdown():
     drain = Drain()
     drain.serve()
     drain.request("SIGTERM")
@@ -11,7 +11,7 @@
     assert drain.forced.is_set()
 
 
-async def test_states_follow_one_another():
+async def test_shutdown_ends_in_the_stopped_state():
     drain = Drain()
     drain.serve()
     drain.request("SIGTERM")
--- a/ebonyrack/service/group_table.py
+++ b/ebonyrack/service/group_table.py
@@ -13,8 +13,8 @@
 from ebonyrack.failover.coordinator import Coordinator
 from ebonyrack.peers.shares import ShareCount
 from ebonyrack.routing.read_index import ReadIndex
+from ebonyrack.service.connection_share import compute_connection_share
 from ebonyrack.service.key_retention import KeyRetention
-from ebonyrack.service.shares import compute_share
 from ebonyrack.upstreams.group import DatabaseGroup
 
 if TYPE_CHECKING:
@@ -26,16 +26,18 @@
 
 
 class GroupTable(Component):
-    """Starts, changes and stops groups as the document says: a context manager.
+    """Starts, updates and stops groups to match the document: a context manager.
 
     Attributes:
-        services: Where the groups and read indexes are put for the sessions.
+        services: Holds the groups and read indexes that the sessions use.
         terms: Source of terms for the coordinators.
         hub: Links to the other proxies.
-        watch: Knows which VMs are leaving.
-        share_count: By how many proxies connections are divided.
+        watch: Source of the names of leaving VMs.
+        share_count: Counts the proxies that share the connections.
         coordinators: Coordinator of each group, by the group's name.
+        stacks: Running components of each group, by the group's name.
         changed: Set when the document, the members or the VM list changed.
+        task: Applies the changes.
     """
 
     def __init__(
@@ -56,7 +58,7 @@
         self.task: asyncio.Task[None] | None = None
 
     async def start(self) -> None:
-        """Start to follow the document."""
+        """Subscribe to changes and start to apply them."""
         self.services.configuration.subscribe(lambda document: self.changed.set())
         self.services.membership.subscribe(lambda member: self.changed.set())
         self.watch.leaving_vms.subscribe(self.changed.set)
@@ -72,14 +74,14 @@
         await asyncio.gather(*(self.stop_group(name) for name in tuple(self.stacks)))
 
     async def follow_changes(self) -> None:
-        """Bring the groups up to date after each change."""
+        """Update the groups after each change."""
         while True:
             await self.changed.wait()
             self.changed.clear()
             await self.update_groups()
 
     async def update_groups(self) -> None:
-        """Make the running groups those of the document in force."""
+        """Make the running groups match the document in force."""
         document = self.services.configuration.document
         for name in tuple(self.stacks):
             if name not in document.groups:
@@ -98,7 +100,7 @@
                 upstream.pool.set_weights(weights)
 
     def update_group(self, name: str, section: GroupSection) -> None:
-        """Give a group its section, its share and its leaving upstreams.
+        """Update a group's section, connection share and leaving upstreams.
 
         Args:
             name: Name of the group.
@@ -108,7 +110,7 @@
         if group.section is not section:
             group.reconfigure(section)
         live_proxies = self.share_count.count()
-        share = compute_share(section, live_proxies)
+        share = compute_connection_share(section, live_proxies)
         if group.connection_limit != share:
             logger.bind(group=name, share=share, live_proxies=live_proxies).info(
                 "connection_share_changed"
@@ -129,7 +131,9 @@
             section: Its section of the document in force.
         """
         live_proxies = self.share_count.count()
-        group = DatabaseGroup(name, section, compute_share(section, live_proxies))
+        group = DatabaseGroup(
+            name, section, compute_connection_share(section, live_proxies)
+        )
         coordinator = Coordinator(group, self.terms, self.hub, self.services.membership)
         stack = AsyncExitStack()
         await stack.enter_async_context(group)
@@ -142,7 +146,7 @@
         self.services.groups[name] = group
 
     async def stop_group(self, name: str) -> None:
-        """Stop a group that the document names no more.
+        """Stop a group that is no longer in the document.
 
         Args:
             name: Name of the group.
--- a/ebonyrack/service/key_retention.py
+++ b/ebonyrack/service/key_retention.py
@@ -1,4 +1,4 @@
-"""Removal of idempotency keys that are past their retention."""
+"""Removal of expired idempotency keys."""
 
 from __future__ import annotations
 
@@ -19,19 +19,20 @@
     from ebonyrack.failover.coordinator import Coordinator
 
 INTERVAL_S = 600.0
-STEP_TIMEOUT_S = 5.0
-# Bounds the work of one round; what is left waits for the next.
-MAXIMUM_STEPS = 100
+BATCH_TIMEOUT_S = 5.0
+# Limits the work per interval; remaining keys wait for the next one.
+MAXIMUM_BATCHES = 100
 POOL_CALLER = "ebonyrack key retention"
 
 
 class KeyRetention(Component):
-    """Removes a group's expired keys from time to time: a context manager.
+    """Periodically removes a group's expired keys: a context manager.
 
-    Only the first of the group's coordinators does so.
+    Only the proxy with coordinator rank 0 of the group does so.
 
     Attributes:
         coordinator: The group's coordinator in this proxy.
+        task: Removes expired keys.
     """
 
     __slots__ = ("coordinator", "task")
@@ -41,30 +42,30 @@
         self.task: asyncio.Task[None] | None = None
 
     async def start(self) -> None:
-        """Start to remove expired keys."""
+        """Start the periodic removal."""
         self.task = asyncio.create_task(self.run())
 
     async def stop(self) -> None:
-        """End the task that removes them."""
+        """Stop the periodic removal."""
         await end_tasks([self.task])
 
     async def run(self) -> None:
-        """Remove expired keys at every interval, for ever."""
+        """Remove expired keys at every interval until cancelled."""
         while True:
             await asyncio.sleep(INTERVAL_S)
             if self.coordinator.rank == 0:
-                await self.remove_all()
+                await self.remove_expired_keys()
 
-    async def remove_all(self) -> int:
-        """Remove all expired keys, a bounded number of steps at most.
+    async def remove_expired_keys(self) -> int:
+        """Remove all expired keys, up to `MAXIMUM_BATCHES` batches.
 
         Returns:
             The number of keys that were removed.
         """
         removed = 0
         try:
-            for _ in range(MAXIMUM_STEPS):
-                count = await self.remove_some()
+            for _ in range(MAXIMUM_BATCHES):
+                count = await self.remove_batch()
                 removed += count
                 if count < DELETE_BATCH_ROWS:
                     break
@@ -74,23 +75,23 @@
             )
         return removed
 
-    async def remove_some(self) -> int:
+    async def remove_batch(self) -> int:
         """Remove one bounded batch of expired keys.
 
         Returns:
             The number of keys that were removed.
 
         Raises:
-            RequestError: If no connection comes free or the upstream refuses.
+            RequestError: If no connection becomes free or the statement fails.
             UpstreamLostError: If the primary is lost.
         """
         group = self.coordinator.group
-        deadline_s = now_s() + STEP_TIMEOUT_S
+        deadline_s = now_s() + BATCH_TIMEOUT_S
         primary = await group.wait_for_primary(deadline_s)
         connection = await primary.pool.acquire(POOL_CALLER, deadline_s)
         try:
             return await remove_expired(
-                connection, group.section.key_retention_s, STEP_TIMEOUT_S
+                connection, group.section.key_retention_s, BATCH_TIMEOUT_S
             )
         finally:
             primary.pool.release(connection)
--- a/ebonyrack/service/operator_handler.py
+++ b/ebonyrack/service/operator_handler.py
@@ -1,4 +1,4 @@
-"""Answers operators' questions and orders that reach this proxy."""
+"""Handling of operators' status requests and commands."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class OperatorHandler:
-    """Handles the operators' messages of one proxy.
+    """Handles operators' messages to one proxy.
 
     Attributes:
         proxy: The proxy.
@@ -43,7 +43,7 @@
 
         Args:
             link: Link of the operator.
-            message: The question.
+            message: The request.
 
         Returns:
             The state.
@@ -62,15 +62,15 @@
         )
 
     def find_refusal(self, link: PeerLink, owner: str) -> str:
-        """Tell why an operator may not give an order.
+        """Check whether an operator may give a command.
 
         Args:
             link: Link of the operator.
-            owner: Owner of what the order is about.
+            owner: Owner of the object of the command.
 
         Returns:
-            The reason, or an empty text. While the document names no operators, who
-            knows the shared secret may give orders.
+            Why the operator may not give it, or an empty string. As long as the
+            document names no operators, the shared secret suffices.
         """
         name = link.member.name
         operators = self.proxy.configuration.document.operators
@@ -78,14 +78,14 @@
             return ""
         authentication = self.proxy.edits.authentication
         if name not in operators or not authentication.is_authenticated(link, name):
-            return f"operator {name!r} has not proved an identity that the document has"
+            return f"operator {name!r} is unknown or not authenticated"
         acts_for = operators[name].acts_for
         if owner in acts_for or ADMINISTRATORS in acts_for:
             return ""
         return f"operator {name!r} does not act for {owner!r}"
 
     def list_sessions(self) -> list[dict[str, Any]]:
-        """List the callers' sessions."""
+        """Return a description of each caller's session."""
         return [
             describe_session(session)
             for session in self.proxy.listener.sessions.values()
@@ -96,7 +96,7 @@
 
         Args:
             link: Link of the operator.
-            message: The order.
+            message: The command.
 
         Returns:
             The outcome.
@@ -114,7 +114,7 @@
 
         Args:
             link: Link of the operator.
-            message: The order.
+            message: The command.
 
         Returns:
             The outcome.
@@ -136,7 +136,7 @@
         session: The session.
 
     Returns:
-        Field to value, as the status message carries it.
+        Field values by name, as sent in the status reply.
     """
     return {
         "number": session.number,
@@ -156,7 +156,7 @@
         group: The group.
 
     Returns:
-        Field to value, as the status message carries it.
+        Field values by name, as sent in the status reply.
     """
     return {
         "term": group.term,
@@ -178,7 +178,7 @@
         upstream: The upstream.
 
     Returns:
-        Field to value, as the status message carries it.
+        Field values by name, as sent in the status reply.
     """
     status = upstream.status
     return {
--- a/ebonyrack/service/proxy.py
+++ b/ebonyrack/service/proxy.py
@@ -1,4 +1,4 @@
-"""The running proxy: owns all of its parts, from start to drained."""
+"""The proxy process: starts, connects and stops all components."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from ebonyrack.config.watch import ConfigurationWatch
 from ebonyrack.core.component import Component
 from ebonyrack.core.tasks import end_tasks
-from ebonyrack.failover.pre_vote import OpinionDesk
+from ebonyrack.failover.pre_vote import PrimaryMessageHandler
 from ebonyrack.failover.terms import TermSource
 from ebonyrack.peers.hub import PeerHub
 from ebonyrack.peers.session_messages import CancelSession
@@ -32,7 +32,7 @@
 
 
 class Proxy(Component):
-    """One proxy process: an async context manager that runs all parts.
+    """One proxy process: an async context manager that runs all components.
 
     Attributes:
         settings: Settings of the process.
@@ -42,9 +42,14 @@
         hub: Links to the other proxies.
         watch: Keeps the document and the VM list up to date.
         terms: Source of terms for ballots.
-        services: What callers' sessions use.
+        services: Components that callers' sessions use.
         group_table: The database groups.
-        listener: Takes callers' connections.
+        listener: Accepts callers' connections.
+        primary_messages: Handles peers' messages about primaries.
+        operators: Handles operators' status requests and commands.
+        edits: Handles operators' edits of the document.
+        stack: Running components, in the order of their start.
+        term_task: Reserves the term slot.
     """
 
     def __init__(self, settings: Settings) -> None:
@@ -68,7 +73,7 @@
         )
         self.group_table = GroupTable(self.services, self.terms, self.hub, self.watch)
         self.listener = CallerListener(self.services)
-        self.opinions = OpinionDesk(self.hub, self.services.groups)
+        self.primary_messages = PrimaryMessageHandler(self.hub, self.services.groups)
         self.operators = OperatorHandler(self)
         self.hub.register_handler(CancelSession, self.receive_cancel)
         self.edits = EditHandler(self.configuration, self.store, self.hub)
@@ -76,7 +81,7 @@
         self.term_task: asyncio.Task[None] | None = None
 
     async def start(self) -> None:
-        """Start all parts but the listener."""
+        """Start all components except the listener."""
         await self.stack.enter_async_context(self.store)
         await self.stack.enter_async_context(self.hub)
         await self.stack.enter_async_context(self.watch)
@@ -84,12 +89,12 @@
         self.term_task = asyncio.create_task(self.terms.reserve(self.store))
 
     async def stop(self) -> None:
-        """Stop all parts."""
+        """Stop all components."""
         await end_tasks([self.term_task])
         await self.stack.aclose()
 
     async def serve(self) -> int:
-        """Serve callers until a shutdown is asked for, then drain.
+        """Serve callers until a shutdown is requested, then drain.
 
         Returns:
             The number of requests that the shutdown cut.
@@ -107,19 +112,19 @@
             return await self.shut_down()
 
     def forward_cancel(self, number: int, secret_key: bytes) -> None:
-        """Pass a cancel request on to the peers; the one with the session acts.
+        """Forward a cancel request to the peers; the one with the session acts on it.
 
         Args:
             number: Number of the session.
-            secret_key: Secret that the request names.
+            secret_key: Secret key in the request.
         """
         self.hub.broadcast(CancelSession(number, secret_key))
 
     async def receive_cancel(self, link: PeerLink, message: CancelSession) -> None:
-        """Serve a cancel request that reached another proxy.
+        """Handle a cancel request that reached another proxy.
 
         Args:
-            link: Link on which it came.
+            link: Link on which it arrived.
             message: The request.
         """
         sessions = self.listener.sessions
@@ -128,10 +133,10 @@
     async def wait_for_document(self) -> bool:
         """Wait until a document is in force.
 
-        No caller is let in before, so that the balancer sends none here.
+        The listener is closed until then, so the load balancer sends no callers here.
 
         Returns:
-            Whether there is one; False if a shutdown was asked for first.
+            Whether there is one; False if a shutdown was requested first.
         """
         in_force = asyncio.Event()
         self.configuration.subscribe(lambda document: in_force.set())
@@ -147,7 +152,7 @@
         return in_force.is_set()
 
     async def shut_down(self) -> int:
-        """Finish what runs and take nothing new.
+        """Finish running work and reject new work.
 
         Returns:
             The number of requests that were cut.
--- a/ebonyrack/service/proxy_test.py
+++ b/ebonyrack/service/proxy_test.py
@@ -45,7 +45,7 @@
 
 
 async def book_until_acknowledged(system, request, first=0):
-    """Book as a caller that repeats a refused request, each time elsewhere."""
+    """Repeat a booking under one key, each time through the next proxy."""
     for attempt in range(first, first + 500):
         proxies = list(system.proxies.values())
         try:
@@ -69,7 +69,7 @@
                 assert await count(connection, f"r-{number}") == 1
 
 
-async def test_acknowledged_bookings_outlive_a_killed_primary():
+async def test_acknowledged_bookings_survive_a_killed_primary():
     async with System(proxies=3) as system:
         proxies = list(system.proxies.values())
         for number in range(10):
@@ -81,7 +81,7 @@
                 assert await count(connection, f"r-{number}") == 1
 
 
-async def test_a_new_revision_is_in_force_on_every_proxy():
+async def test_a_new_revision_takes_effect_on_every_proxy():
     async with System(proxies=3) as system:
         system.put_document(queue_limit=77)
         await until(
@@ -92,7 +92,7 @@
         )
 
 
-async def test_shares_follow_the_live_proxies():
+async def test_connection_share_grows_when_a_proxy_dies():
     async with System(proxies=2, connection_limit=20, connection_reserve=2) as system:
         proxy = system.proxies["proxy-1"]
         group = proxy.services.groups[GROUP]
@@ -129,7 +129,7 @@
 
 
 @pytest.mark.parametrize("by", ["document", "vm_list"])
-async def test_a_leaving_primary_is_moved_and_gets_no_new_work(by):
+async def test_a_leaving_primary_is_replaced_and_gets_no_new_work(by):
     async with System(proxies=2) as system:
         proxies = list(system.proxies.values())
         if by == "document":
@@ -150,26 +150,26 @@
         assert not leaving.pool.is_accepting
 
 
-async def test_expired_keys_are_removed_and_the_others_kept():
+async def test_only_expired_keys_are_removed():
     async with System(proxies=1) as system:
         table = system.proxies["proxy-1"].group_table
         retention = KeyRetention(table.coordinators[GROUP])
         await book_until_acknowledged(system, "r-1")
-        assert await retention.remove_all() == 0
+        assert await retention.remove_expired_keys() == 0
         system.put_document(key_retention_s=0.001)
         group = table.services.groups[GROUP]
         await until(lambda: group.section.key_retention_s == 0.001)
-        # The database's clock counts whole seconds.
+        # The database's clock has a resolution of one second, so retry.
         await until_removed(retention)
 
 
 async def until_removed(retention):
     async with asyncio.timeout(CONDITION_LIMIT_S):
-        while await retention.remove_all() == 0:
+        while await retention.remove_expired_keys() == 0:
             await asyncio.sleep(0.05)
 
 
-async def test_a_proxy_cut_off_from_store_and_peers_takes_no_new_work():
+async def test_a_proxy_cut_off_from_store_and_peers_rejects_new_work():
     async with System(proxies=2, cut_off_after_s=1.0) as system:
         proxy = system.proxies["proxy-1"]
         await system.kill_proxy("proxy-2")
@@ -187,7 +187,7 @@
             assert await count(connection, "r-1") == 1
 
 
-async def test_weights_of_the_applications_reach_the_pools():
+async def test_application_weights_are_applied_to_the_pools():
     async with System(proxies=1) as system:
         upstreams = system.proxies["proxy-1"].services.groups[GROUP].upstreams
         await until(
@@ -198,21 +198,21 @@
         )
 
 
-async def test_a_proxy_alone_with_a_quiet_store_is_never_cut_off():
+async def test_a_single_proxy_is_not_cut_off_while_the_store_is_unchanged():
     async with System(proxies=1, cut_off_after_s=1.0) as system:
         proxy = system.proxies["proxy-1"]
         reads = proxy.store.calls["get"]
         seen = []
 
-        def look():
+        def has_read_again():
             seen.append(proxy.watch.is_cut_off)
             return proxy.store.calls["get"] > reads + 4
 
-        await until(look)
+        await until(has_read_again)
         assert not any(seen)
 
 
-async def test_a_cancel_request_that_reaches_another_proxy_finds_its_session():
+async def test_a_cancel_request_at_another_proxy_is_forwarded_to_its_session():
     async with System(proxies=2) as system:
         one, other = system.proxies.values()
         await until(lambda: "proxy-2" in one.hub.links and "proxy-1" in other.hub.links)
@@ -238,7 +238,7 @@
 
 
 class Recorder:
-    """Stands in for an instrument and counts what is recorded."""
+    """A fake metric instrument that counts its measurements."""
 
     def __init__(self):
         self.count = 0
@@ -249,7 +249,7 @@
     record = add
 
 
-async def test_every_metric_of_the_operators_page_is_recorded(monkeypatch):
+async def test_every_metric_is_recorded(monkeypatch):
     names = [name for name in vars(metrics) if hasattr(vars(metrics)[name], "_name")]
     names.remove("meter")
     assert len(names) == 8
--- a/ebonyrack/service/region_test.py
+++ b/ebonyrack/service/region_test.py
@@ -1,4 +1,4 @@
-"""Loss of a whole data centre, and a cut between two regions."""
+"""Loss of a whole data centre, and a network partition between two regions."""
 
 import asyncio
 from collections import Counter
@@ -33,21 +33,21 @@
 
 
 class Caller:
-    """Books one request after another under a key each, and reads each back.
+    """Makes one booking after another, each under its own key, and reads it back.
 
-    One that insists repeats a request through the next proxy until it is
-    acknowledged; one that doesn't leaves it at the first answer.
+    If `retries` is true, a booking is repeated through the next proxy until it is
+    acknowledged; otherwise the first outcome is final.
     """
 
-    def __init__(self, system, name, proxy_names, insists):
+    def __init__(self, system, name, proxy_names, retries):
         self.system = system
         self.name = name
         self.names = cycle(proxy_names)
-        self.insists = insists
+        self.retries = retries
         self.outcomes = {}
 
     async def run(self):
-        """Book for ever."""
+        """Make bookings until cancelled."""
         while True:
             request = f"r-{self.name}-{len(self.outcomes)}"
             self.outcomes[request] = "unknown"
@@ -56,9 +56,9 @@
                 await self.read_back(request)
 
     async def book(self, request):
-        """Return whether a request took effect, as the caller was told."""
+        """Make one booking; return the outcome that was reported to the caller."""
         outcome = await self.attempt(request)
-        while self.insists and outcome != "yes":
+        while self.retries and outcome != "yes":
             await asyncio.sleep(0.02)
             outcome = await self.attempt(request)
         return outcome
@@ -75,41 +75,41 @@
                 return "yes"
         except (psycopg.Error, TimeoutError, KeyError) as error:
             detail = getattr(getattr(error, "diag", None), "message_detail", None) or ""
-            words = dict(word.split("=", 1) for word in detail.split() if "=" in word)
+            fields = dict(word.split("=", 1) for word in detail.split() if "=" in word)
             await asyncio.sleep(0.01)
-            return words.get("ran", outcome)
+            return fields.get("ran", outcome)
 
     def connect(self):
-        """Connect to the next proxy; one that was lost raises KeyError."""
+        """Connect to the next proxy; raises KeyError if it is not running."""
         return connect(self.system.proxies[next(self.names)])
 
     async def read_back(self, request):
         """Read an acknowledged booking through the next proxy that answers."""
-        for _ in range(100 if self.insists else 1):
+        for _ in range(100 if self.retries else 1):
             try:
                 async with asyncio.timeout(ATTEMPT_LIMIT_S), self.connect() as reader:
                     assert await count(reader, request) == 1, request
                     return
             except (psycopg.Error, TimeoutError, KeyError):
                 await asyncio.sleep(0.02)
-        assert not self.insists, f"{request} could not be read"
+        assert not self.retries, f"{request} could not be read"
 
     def count_acknowledged(self):
         return list(self.outcomes.values()).count("yes")
 
 
-class Places(Component):
-    """Proxy and upstream of each number in a place, and callers of the proxies."""
+class MultiSiteDeployment(Component):
+    """A system whose proxies and upstreams are spread over sites, and its callers."""
 
-    def __init__(self, places, store_place=PLATFORM, **overrides):
-        self.places = places
-        self.store_place = store_place
+    def __init__(self, sites, store_site=PLATFORM, **overrides):
+        self.sites = sites
+        self.store_site = store_site
         waits = {"confirm_wait_s": 1.0, "queue_wait_s": 1.0, "answer_wait_s": 2.0}
         self.system = System(
             proxies=0,
             cut_off_after_s=2.5,
             operators=OPERATORS,
-            data_centres=places[:3],
+            data_centres=sites[:3],
             **waits | overrides,
         )
         self.group = self.system.group
@@ -123,14 +123,14 @@
         await self.system.start()
         self.group.set_lag(0.0, receive_delay_s=RECEIVE_DELAY_S)
         ports = self.network.places
-        ports[self.system.platform.address.port] = self.store_place
-        for upstream, place in zip(
-            self.group.upstreams.values(), self.places, strict=False
+        ports[self.system.platform.address.port] = self.store_site
+        for upstream, site in zip(
+            self.group.upstreams.values(), self.sites, strict=False
         ):
-            ports[upstream.address.port] = place
-        for number in range(1, len(self.places) + 1):
+            ports[upstream.address.port] = site
+        for number in range(1, len(self.sites) + 1):
             await self.start_proxy(number)
-        await wait_until(self.is_whole)
+        await wait_until(self.is_fully_connected)
 
     async def stop(self):
         await end_tasks(self.tasks)
@@ -139,23 +139,23 @@
         await self.network.stop()
 
     async def start_proxy(self, number):
-        name, place = f"proxy-{number}", self.places[number - 1]
-        token = DIALLER.set(place)
-        proxy = await self.system.start_proxy(name, place)
+        name, site = f"proxy-{number}", self.sites[number - 1]
+        token = DIALLER.set(site)
+        proxy = await self.system.start_proxy(name, site)
         DIALLER.reset(token)
-        self.network.places[proxy.hub.address.port] = place
+        self.network.places[proxy.hub.address.port] = site
         seen = self.revisions.setdefault(proxy, [])
         proxy.configuration.subscribe(lambda document: seen.append(document.revision))
 
-    def add_caller(self, *proxy_names, insists=True):
+    def add_caller(self, *proxy_names, retries=True):
         name = f"{len(self.callers)}"
-        caller = Caller(self.system, name, proxy_names, insists)
+        caller = Caller(self.system, name, proxy_names, retries)
         self.callers.append(caller)
         self.tasks.append(asyncio.create_task(caller.run()))
         return caller
 
-    async def progress(self, *callers, by=4):
-        """Wait until callers have more writes acknowledged, and read back."""
+    async def wait_for_writes(self, *callers, by=4):
+        """Wait until callers have further writes acknowledged."""
         wanted = {caller: caller.count_acknowledged() + by for caller in callers}
 
         def has_progressed():
@@ -165,20 +165,20 @@
 
         await wait_until(has_progressed)
 
-    def cut(self, place=None):
-        """Cut all links between a place and the others; heal those that were cut."""
-        others = {*self.places, self.store_place} - {place}
-        self.network.set_cuts(*((place, other) for other in others if place))
+    def cut(self, site=None):
+        """Heal all links, then cut those between a site, if given, and the others."""
+        others = {*self.sites, self.store_site} - {site}
+        self.network.set_cuts(*((site, other) for other in others if site))
         self.group.heal()
         for one, other in combinations(range(3), 2):
-            if (self.places[one] == place) != (self.places[other] == place):
+            if (self.sites[one] == site) != (self.sites[other] == site):
                 self.group.cut(f"up-{one + 1}", f"up-{other + 1}")
 
-    def is_whole(self):
-        """Tell whether each proxy knows all proxies and both replicas."""
+    def is_fully_connected(self):
+        """Return whether each proxy sees all proxies, a primary and both replicas."""
         proxies = self.system.proxies.values()
         return all(
-            len(proxy.hub.membership.live_members()) == len(self.places)
+            len(proxy.hub.membership.live_members()) == len(self.sites)
             and not proxy.watch.is_cut_off
             and proxy.services.groups[GROUP].primary() is not None
             and len(proxy.services.groups[GROUP].replicas()) == 2
@@ -186,7 +186,7 @@
         )
 
     async def wait_dead(self, lost, seen_by):
-        """Wait until proxies hold others for dead."""
+        """Wait until proxies consider others dead."""
         await wait_until(
             lambda: all(
                 self.system.proxies[name].hub.membership.find(other).state
@@ -197,11 +197,11 @@
         )
 
     async def check(self):
-        """End all faults and compare the logs with what the callers were told."""
+        """End all faults and compare the log with the reported outcomes."""
         await end_tasks(self.tasks)
-        await wait_until(self.is_whole)
+        await wait_until(self.is_fully_connected)
         bench = Bench(self.group, {})
-        await bench.settle()
+        await bench.wait_until_converged()
         bench.check_terms()
         booked = Counter(
             value
@@ -212,51 +212,55 @@
             if isinstance(value, str) and value.startswith("r-")
         )
         assert booked
-        assert max(booked.values()) == 1, "a booking is doubled"
+        assert max(booked.values()) == 1, "a booking was written twice"
         for caller in self.callers:
             for request, outcome in caller.outcomes.items():
                 assert outcome != "yes" or request in booked, f"{request} is lost"
-                assert outcome != "no" or request not in booked, f"{request} ran"
+                assert outcome != "no" or request not in booked, (
+                    f"{request} ran although reported as not run"
+                )
         for seen in self.revisions.values():
-            assert seen == sorted(set(seen)), "a revision was put back"
+            assert seen == sorted(set(seen)), "a lower revision replaced a higher one"
 
 
 @pytest.mark.parametrize(
     ("number", "fault", "is_store_down"),
     [(1, "kill", False), (3, "kill", False), (1, "kill", True), (1, "freeze", False)],
 )
-async def test_a_lost_data_centre_costs_no_booking(number, fault, is_store_down):
-    async with Places(DATA_CENTRES) as places:
-        system, group = places.system, places.group
+async def test_loss_of_a_data_centre_loses_no_booking(number, fault, is_store_down):
+    async with MultiSiteDeployment(DATA_CENTRES) as deployment:
+        system, group = deployment.system, deployment.group
         proxy, upstream = f"proxy-{number}", f"up-{number}"
         others = [name for name in system.proxies if name != proxy]
-        roaming = [places.add_caller(*system.proxies) for _ in range(2)]
-        staying = places.add_caller(*others)
-        await places.progress(*roaming, staying)
+        roaming = [deployment.add_caller(*system.proxies) for _ in range(2)]
+        staying = deployment.add_caller(*others)
+        await deployment.wait_for_writes(*roaming, staying)
         system.platform.is_down = is_store_down
         if fault == "kill":
             await asyncio.gather(group.kill(upstream), system.kill_proxy(proxy))
         else:
             group.freeze(upstream)
-            places.cut(DATA_CENTRES[number - 1])
-        await places.progress(*roaming, staying)
-        await places.wait_dead([proxy], others)
-        await places.progress(*roaming, staying)
+            deployment.cut(DATA_CENTRES[number - 1])
+        await deployment.wait_for_writes(*roaming, staying)
+        await deployment.wait_dead([proxy], others)
+        await deployment.wait_for_writes(*roaming, staying)
         assert group.primary().name != upstream
         if fault == "kill":
             await group.restart(upstream)
-            await places.start_proxy(number)
+            await deployment.start_proxy(number)
         else:
             group.thaw(upstream)
-            places.cut()
-        await wait_until(places.is_whole)
-        await places.progress(*roaming, staying, places.add_caller(proxy))
+            deployment.cut()
+        await wait_until(deployment.is_fully_connected)
+        await deployment.wait_for_writes(
+            *roaming, staying, deployment.add_caller(proxy)
+        )
         system.platform.is_down = False
-        await places.check()
+        await deployment.check()
 
 
 async def edit_queue_limit(proxy, queue_limit):
-    """Get an edit accepted by way of a proxy."""
+    """Change the queue limit through a proxy; return the new revision."""
     base = proxy.configuration.stored
     wanted = base.text.replace("queue_limit = 200", f"queue_limit = {queue_limit}")
     edit = build_edit("one", "ada", base, wanted)
@@ -275,48 +279,48 @@
     ],
     ids=["replica_cut", "primary_cut", "primary_cut_with_two_proxies"],
 )
-async def test_the_lesser_region_of_a_cut_acknowledges_nothing(regions):
-    async with Places(regions, store_place="east") as places:
-        proxies = places.system.proxies
+async def test_minority_region_of_a_partition_acknowledges_nothing(regions):
+    async with MultiSiteDeployment(regions, store_site="east") as deployment:
+        proxies = deployment.system.proxies
         names = dict(zip(proxies, regions, strict=True))
         east = [name for name, region in names.items() if region == "east"]
         west = [name for name, region in names.items() if region == "west"]
-        greater = places.add_caller(*east)
-        lesser = [places.add_caller(name, insists=False) for name in west]
-        await places.progress(greater, *lesser)
-        places.cut("west")
-        await places.wait_dead(west, east)
-        await places.wait_dead(east, west)
-        # What was acknowledged in the west left before the cut.
-        before = [caller.count_acknowledged() for caller in lesser]
+        majority_caller = deployment.add_caller(*east)
+        minority_callers = [deployment.add_caller(name, retries=False) for name in west]
+        await deployment.wait_for_writes(majority_caller, *minority_callers)
+        deployment.cut("west")
+        await deployment.wait_dead(west, east)
+        await deployment.wait_dead(east, west)
+        # Writes acknowledged in the west until now were sent before the cut.
+        before = [caller.count_acknowledged() for caller in minority_callers]
         revision = await edit_queue_limit(proxies[east[0]], 77)
         await wait_until(
             lambda: all(proxies[n].configuration.revision == revision for n in east)
         )
-        await places.progress(greater, by=10)
-        # Proxies that hear each other are not cut off, but have no quorum.
+        await deployment.wait_for_writes(majority_caller, by=10)
+        # Two proxies that reach each other are not cut off, but have no quorum.
         await wait_until(lambda: len(west) > 1 or proxies[west[0]].watch.is_cut_off)
-        log = places.group[f"up-{regions.index('west') + 1}"].log
+        log = deployment.group[f"up-{regions.index('west') + 1}"].log
         entries = len(log.entries)
         for name in west:
             async with connect(proxies[name]) as reader:
                 with pytest.raises(psycopg.Error) as raised:
                     await count(reader, "r-0-0")
                 assert "ran=no kind=" in raised.value.diag.message_detail
-        tried = [len(caller.outcomes) for caller in lesser]
+        attempted = [len(caller.outcomes) for caller in minority_callers]
         await wait_until(
             lambda: all(
                 len(caller.outcomes) > number + 2
-                for caller, number in zip(lesser, tried, strict=True)
+                for caller, number in zip(minority_callers, attempted, strict=True)
             )
         )
         assert len(log.entries) == entries, "new work reached the cut-off upstream"
         assert all(proxies[name].configuration.revision < revision for name in west)
-        assert [caller.count_acknowledged() for caller in lesser] == before
-        places.cut()
-        await wait_until(places.is_whole)
+        assert [caller.count_acknowledged() for caller in minority_callers] == before
+        deployment.cut()
+        await wait_until(deployment.is_fully_connected)
         await wait_until(
             lambda: all(proxies[n].configuration.revision == revision for n in west)
         )
-        await places.progress(greater, *lesser)
-        await places.check()
+        await deployment.wait_for_writes(majority_caller, *minority_callers)
+        await deployment.check()
--- a/ebonyrack/service/services.py
+++ b/ebonyrack/service/services.py
@@ -1,4 +1,4 @@
-"""The parts of a running proxy that a caller's session uses."""
+"""Components of the proxy that callers' sessions use."""
 
 from __future__ import annotations
 
@@ -19,30 +19,30 @@
     from ebonyrack.upstreams.group import DatabaseGroup
 
 
-def never() -> bool:
-    """Return False, for a proxy that can't be cut off."""
+def return_false() -> bool:
+    """Return False; the default for a proxy that can't be cut off."""
     return False
 
 
-def drop_cancel(number: int, secret_key: bytes) -> None:
-    """Do nothing, for a proxy without peers."""
+def ignore_cancel(number: int, secret_key: bytes) -> None:
+    """Ignore a cancel request; the default for a proxy without peers."""
 
 
 @dataclass(slots=True)
 class Services:
-    """What sessions need from the proxy that they run in.
+    """Shared components and state that sessions use.
 
     Attributes:
         settings: Settings of the process.
         configuration: The operators' document in force.
-        membership: The proxies known to this one.
-        drain: Whether the proxy is shutting down.
+        membership: Membership table of the proxies.
+        drain: Life cycle of the proxy; tells whether it is shutting down.
         token_key: Key that signs session tokens; the same on every proxy.
         groups: Database groups by name.
         read_indexes: Read index of each group, by the group's name.
-        is_cut_off: Tells whether neither the store nor a peer was heard for so long
-            that the document in force may be out of date.
-        forward_cancel: Passes a cancel request for an unknown session to the peers.
+        is_cut_off: Returns whether neither the store nor a peer has answered for so
+            long that the document in force may be out of date.
+        forward_cancel: Forwards a cancel request for an unknown session to the peers.
     """
 
     settings: Settings
@@ -52,12 +52,12 @@
     token_key: bytes
     groups: dict[str, DatabaseGroup] = field(default_factory=dict)
     read_indexes: dict[str, ReadIndex] = field(default_factory=dict)
-    is_cut_off: Callable[[], bool] = never
-    forward_cancel: Callable[[int, bytes], None] = drop_cancel
+    is_cut_off: Callable[[], bool] = return_false
+    forward_cancel: Callable[[int, bytes], None] = ignore_cancel
 
 
 def derive_token_key(secret: str) -> bytes:
-    """Derive the key of session tokens from the secret that all proxies share.
+    """Derive the key that signs session tokens from the proxies' shared secret.
 
     Args:
         secret: Value of `secret` in the section `[peers]`.
