--- a/ebonyrack/store/__init__.py
+++ b/ebonyrack/store/__init__.py
@@ -1,1 +1,1 @@
-"""Clients of the platform: the key-value store and the VM list."""
+"""Clients of the platform's key-value stores and VM list."""
--- a/ebonyrack/store/backoff.py
+++ b/ebonyrack/store/backoff.py
@@ -6,7 +6,7 @@
 
 
 class Backoff:
-    """Delays between attempts that fail.
+    """Delays between failed attempts, doubled after each up to a maximum.
 
     Attributes:
         first_s: Upper bound of the first delay, in seconds.
@@ -22,7 +22,7 @@
         self.next_s = first_s
 
     def choose_delay(self) -> float:
-        """Return the seconds to wait after one more failure."""
+        """Return the delay in seconds after another failure."""
         delay_s = random.uniform(self.next_s / 2, self.next_s)
         self.next_s = min(2 * self.next_s, self.maximum_s)
         return delay_s
--- a/ebonyrack/store/consul_store.py
+++ b/ebonyrack/store/consul_store.py
@@ -1,4 +1,4 @@
-"""The platform's key-value store, by Consul's HTTP interface."""
+"""Client of the platform's key-value store over Consul's HTTP interface."""
 
 from __future__ import annotations
 
@@ -32,14 +32,15 @@
 class ConsulStore(Component):
     """Client of the store: an async context manager.
 
-    Keys are relative to the prefix of the settings. Each call has a time-out, is
-    counted by its kind, and waits for the bounded rate of this process.
+    Keys are relative to the prefix in the settings. Each call has a time-out, is
+    counted by kind and is subject to the process's rate limit.
 
     Attributes:
-        settings: Address, prefix, time-outs and rate.
+        settings: Address, prefix, time-out and rate limit.
         calls: Number of calls made, by kind.
-        answered_at_s: Time of the last answer of the store, or None.
-        client: HTTP connections to the store.
+        answered_at_s: Monotonic time of the store's last response, or None.
+        rate_limit: Limits the rate of calls.
+        client: HTTP client of the store.
     """
 
     def __init__(self, settings: StoreSettings) -> None:
@@ -50,54 +51,54 @@
         self.client = HttpClient(settings.address)
 
     async def start(self) -> None:
-        """Prepare for HTTP connections; each is made when it is needed."""
+        """Open the HTTP client; connections are made on demand."""
         await self.client.start()
 
     async def stop(self) -> None:
-        """Close the connections."""
+        """Close the HTTP client."""
         await self.client.stop()
 
     async def get(self, key: str) -> Result[StoreValue | None, StoreError]:
-        """Read a value; it may be older than the newest.
+        """Read a value, which may be stale.
 
         Args:
-            key: Key below the prefix.
+            key: Key relative to the prefix.
 
         Returns:
-            The value, None if there is none, or why it isn't known.
+            The value, None if there is none, or the error.
         """
-        answer = await self.call("get", "GET", self.build_path(key), {})
-        return answer.and_then(read_value)
+        response = await self.call("get", "GET", self.build_path(key), {})
+        return response.and_then(read_value)
 
     async def watch(
         self, key: str, index: int, wait_s: float
     ) -> Result[StoreValue | None, StoreError]:
-        """Wait until a value's index differs from a known one.
+        """Wait until a value's index differs from the known one.
 
         Args:
-            key: Key below the prefix.
-            index: Index that is known; 0 to be answered at once.
-            wait_s: Seconds after which the store answers in any case.
+            key: Key relative to the prefix.
+            index: The known index; 0 to return at once.
+            wait_s: Seconds after which the store responds in any case.
 
         Returns:
-            The value then, None if there is none, or why it isn't known.
+            The value, None if there is none, or the error.
         """
-        answer = await self.watch_path("watch", self.build_path(key), index, wait_s)
-        return answer.and_then(read_value)
+        response = await self.watch_path("watch", self.build_path(key), index, wait_s)
+        return response.and_then(read_value)
 
     async def watch_path(
         self, kind: str, path: str, index: int, wait_s: float
     ) -> Result[StoreResponse, StoreError]:
-        """Wait until the index of what a path names differs from a known one.
+        """Wait until the index of the resource at a path differs from the known one.
 
         Args:
-            kind: Name under which the call is counted.
+            kind: Kind under which the call is counted.
             path: Path, already quoted.
-            index: Index that is known; 0 to be answered at once.
-            wait_s: Seconds after which the store answers in any case.
+            index: The known index; 0 to return at once.
+            wait_s: Seconds after which the store responds in any case.
 
         Returns:
-            The answer, or why there is none.
+            The response, or the error.
         """
         parameters = {"index": str(index), "wait": f"{max(1, round(wait_s))}s"}
         return await self.call(kind, "GET", path, parameters, wait_s=wait_s)
@@ -105,24 +106,24 @@
     async def compare_and_swap(
         self, key: str, value: bytes, index: int
     ) -> Result[bool, StoreError]:
-        """Write a value if its index is still the known one.
+        """Write a value if its index is unchanged.
 
         Args:
-            key: Key below the prefix.
+            key: Key relative to the prefix.
             value: New value.
             index: Index that was read; 0 if there must be no value yet.
 
         Returns:
-            Whether it was written, or why that isn't known. After `UNKNOWN` the
-            change may take effect even later.
+            Whether it was written, or the error. After `UNKNOWN` the write may still
+            take effect later.
         """
         if len(value) > MAXIMUM_VALUE_BYTES:
             reason = f"the value has more than {MAXIMUM_VALUE_BYTES} bytes"
             return Err(StoreError(StoreErrorKind.REFUSED, reason))
-        answer = await self.call(
+        response = await self.call(
             "swap", "PUT", self.build_path(key), {"cas": str(index)}, value
         )
-        return answer.and_then(read_success)
+        return response.and_then(read_success)
 
     async def call(
         self,
@@ -133,22 +134,22 @@
         body: bytes = b"",
         wait_s: float = 0.0,
     ) -> Result[StoreResponse, StoreError]:
-        """Make one HTTP call within the rate and the time-out.
+        """Make one HTTP call subject to the rate limit and the time-out.
 
         Args:
-            kind: Name under which it is counted.
+            kind: Kind under which the call is counted.
             method: HTTP method.
             path: Path, already quoted.
             parameters: Query parameters.
             body: Body of the request.
-            wait_s: Seconds for which the store may hold the answer back.
+            wait_s: Seconds for which the store may hold the response back.
 
         Returns:
-            The answer of a call that the store accepted, or why there is none.
+            The response if the store accepted the call, or the error.
         """
         delay_s = self.rate_limit.reserve(self.settings.timeout_s)
         if delay_s is None:
-            reason = "the bounded rate of calls is used up"
+            reason = "the rate limit of store calls is exceeded"
             return Err(StoreError(StoreErrorKind.UNREACHABLE, reason))
         await asyncio.sleep(delay_s)
         self.calls[kind] += 1
@@ -160,22 +161,24 @@
     async def request(
         self, method: str, target: str, body: bytes, wait_s: float
     ) -> Result[StoreResponse, StoreError]:
-        """Send a request and sort what may come back."""
+        """Send a request and classify the response."""
         call = HttpRequest(
             method, target, body, timeout_s=self.settings.timeout_s, wait_s=wait_s
         )
-        answer = await self.client.send(call)
-        return answer.and_then(self.sort_answer)
+        response = await self.client.send(call)
+        return response.and_then(self.classify_response)
 
-    def sort_answer(self, answer: HttpResponse) -> Result[StoreResponse, StoreError]:
-        """Tell a usable answer from a refusal."""
-        status = answer.status
+    def classify_response(
+        self, response: HttpResponse
+    ) -> Result[StoreResponse, StoreError]:
+        """Return the response, or an error for an error status other than 404."""
+        status = response.status
         if status >= 400 and status != 404:
             kind = StoreErrorKind.UNKNOWN if status >= 500 else StoreErrorKind.REFUSED
-            return Err(StoreError(kind, f"the store answered {status}"))
+            return Err(StoreError(kind, f"the store returned status {status}"))
         self.answered_at_s = now_s()
-        return Ok(StoreResponse(status, read_index(answer), answer.body))
+        return Ok(StoreResponse(status, read_index(response), response.body))
 
     def build_path(self, key: str) -> str:
-        """Return the path of a key below the prefix."""
+        """Return the quoted path of a key."""
         return f"/v1/kv/{quote(self.settings.prefix)}/{quote(key)}"
--- a/ebonyrack/store/consul_store_test.py
+++ b/ebonyrack/store/consul_store_test.py
@@ -29,7 +29,7 @@
         yield made
 
 
-async def test_a_value_is_read_swapped_and_watched(platform, store):
+async def test_a_value_can_be_read_swapped_and_watched(platform, store):
     assert await store.get("a/b") == Ok(None)
     assert await store.compare_and_swap("a/b", b"one\x00", 0) == Ok(True)
     assert await store.compare_and_swap("a/b", b"two", 0) == Ok(False)
@@ -52,7 +52,7 @@
         ("delay_s", StoreErrorKind.UNKNOWN),
     ],
 )
-async def test_a_call_without_answer_says_what_is_known(
+async def test_a_failed_call_reports_whether_it_may_have_taken_effect(
     platform, store, method, fault, kind
 ):
     if fault == "stopped":
@@ -70,7 +70,7 @@
     assert store.answered_at_s is None
 
 
-async def test_a_lost_answer_is_unknown_and_has_taken_effect(platform, store):
+async def test_a_swap_whose_response_is_lost_is_unknown(platform, store):
     platform.lose_answers = 1
     result = await store.compare_and_swap("k", b"v", 0)
     assert result.err_value.kind == StoreErrorKind.UNKNOWN
@@ -90,7 +90,7 @@
     assert (await store.get("k")).ok_value.value == b"v"
 
 
-async def test_the_rate_is_bounded(platform):
+async def test_calls_beyond_the_rate_limit_fail(platform):
     async with open_store(platform.address, maximum_calls_per_s=1) as store:
         results = [await store.get("k") for _ in range(6)]
     refused = [result for result in results if not isinstance(result, Ok)]
@@ -99,7 +99,7 @@
     assert platform.calls["get"] == len(results) - len(refused)
 
 
-async def test_a_value_that_is_too_large_is_refused(platform, store):
+async def test_a_value_that_is_too_large_is_rejected(platform, store):
     value = b"x" * (MAXIMUM_VALUE_BYTES + 1)
     result = await store.compare_and_swap("k", value, 0)
     assert result.err_value.kind == StoreErrorKind.REFUSED
@@ -107,7 +107,7 @@
 
 
 @pytest.mark.parametrize(
-    "answer",
+    "response",
     [
         b"HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n",
         b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nnull",
@@ -117,10 +117,10 @@
         b"",
     ],
 )
-async def test_a_bad_answer_is_unknown(answer):
+async def test_a_malformed_response_is_unknown(response):
     async def serve(reader, writer):
         await reader.readuntil(b"\r\n\r\n")
-        writer.write(answer)
+        writer.write(response)
         await writer.drain()
         writer.close()
 
@@ -135,7 +135,7 @@
                 assert result.err_value.kind == StoreErrorKind.UNKNOWN
 
 
-async def test_the_vm_list_tells_who_is_leaving(platform, store):
+async def test_the_vm_list_contains_the_leaving_vms(platform, store):
     vm_list = VmList(store)
     nodes = [Node("up-1", "127.0.0.1", "dc-1"), Node("up-2", "127.0.0.1", "dc-1")]
     platform.state.set_nodes(nodes)
--- a/ebonyrack/store/follower.py
+++ b/ebonyrack/store/follower.py
@@ -1,9 +1,10 @@
-"""Follows a part of the store: watches what changes seldom, reads the rest at a pace.
+"""Following a key prefix of the store, by watches or by periodic reads.
 
-Load answered: every upstream renews its entry each second, so a watch of each proxy
-would return with each heartbeat and carry all of them. Reading the entries every few
-seconds costs a third of the bytes and calls; while something is missing that the store
-may bring, the pace is some calls a second.
+Keys that change seldom are watched. Upstreams' entries are read periodically instead:
+every upstream renews its entry each second, so the watches of all proxies would return
+with each heartbeat and carry all entries. Reading them every few seconds costs a third
+of the bytes and calls. While data is missing that the store may provide, reads are made
+several times a second.
 """
 
 from __future__ import annotations
@@ -28,27 +29,27 @@
 from ebonyrack.store.leasing_store import StoreChanges
 from ebonyrack.store.store_response import StoreError
 
-# While something is missing that the store may bring any moment.
-HURRIED_PAUSE_S = 0.4
-# Between two watches, so that a series of changes is not a call each.
+# Pause between reads while data is missing that the store may provide any moment.
+INCOMPLETE_PAUSE_S = 0.4
+# Pause between watches, so that a burst of changes does not cause a call for each.
 WATCH_PAUSE_S = 0.1
 FIRST_BACKOFF_S = 0.1
 MAXIMUM_BACKOFF_S = 0.5
-# A follower that leaves the asking to another one asks itself after this, in seconds.
-LONGEST_WAIT_S = 1.0
+# Limit on the wait for the probing follower; then the others call the store themselves.
+MAXIMUM_WAIT_S = 1.0
 
 Apply = Callable[[StoreChanges], Awaitable[None]]
 
 
 @dataclass(frozen=True, slots=True)
 class FollowOptions:
-    """How a part of the store is followed.
+    """How a key prefix is followed.
 
     Attributes:
-        prefix: Start of its keys.
-        watch_s: Seconds for which a watch waits for a change; 0 to read at a pace.
-        pause_s: Seconds between two reads.
-        allow_stale: Whether what the store held some seconds ago will do.
+        prefix: Prefix of the keys.
+        watch_s: Seconds for which a watch waits for a change; 0 for periodic reads.
+        pause_s: Seconds between two reads or watches.
+        allow_stale: Whether reads may return data that is some seconds old.
     """
 
     prefix: str
@@ -58,17 +59,17 @@
 
 
 class StoreAvailability:
-    """Whether the store answers, as all followers of a process know it.
+    """Whether the store answers, shared by all followers of a process.
 
-    While it doesn't, one of them asks on and the others wait for it: calls that are
-    refused cost the store as much as others.
+    While it does not, only one follower probes it and the others wait, because
+    rejected calls cost the store as much as others.
 
     Attributes:
         available_since_s: Time since which it answers, or None.
         unavailable_since_s: Time since which it does not, or None.
-        restored: Wakes those who wait for it.
-        failure_reported: Wakes the follower that asks when a call of another one
-            has failed.
+        restored: Wakes the waiting followers when the store answers again.
+        failure_reported: Wakes the probing follower when a call of another one has
+            failed.
     """
 
     __slots__ = (
@@ -85,17 +86,17 @@
         self.failure_reported = Notifier()
 
     def compute_available_s(self) -> float:
-        """Return for how long the store has answered without a failure, in seconds."""
+        """Return the seconds for which the store has answered without a failure."""
         since_s = self.available_since_s
         return boot_time_s() - since_s if since_s is not None else 0.0
 
     def compute_unavailable_s(self) -> float:
-        """Return for how long the store has not answered, in seconds."""
+        """Return the seconds for which the store has not answered."""
         since_s = self.unavailable_since_s
         return boot_time_s() - since_s if since_s is not None else 0.0
 
     def record_available(self) -> None:
-        """Note that the store answers."""
+        """Record that the store answers."""
         if self.available_since_s is None:
             self.available_since_s = boot_time_s()
             self.unavailable_since_s = None
@@ -103,7 +104,7 @@
             self.restored.notify()
 
     def record_unavailable(self, error: StoreError) -> None:
-        """Note that the store does not answer."""
+        """Record that the store does not answer."""
         if self.available_since_s is not None:
             self.available_since_s = None
             self.unavailable_since_s = boot_time_s()
@@ -111,24 +112,25 @@
 
 
 class StoreFollower(Component):
-    """Hands on what the store holds and each change of it.
+    """Passes the keys with a prefix and their changes to a callback.
 
     Attributes:
         store: The store.
-        plan: What is followed, and how.
-        apply: Takes over what was read.
-        is_hurried: Tells whether something is missing that changes may bring.
-        revision: Revision from which the next watch goes on; 0 to read anew.
+        options: What is followed, and how.
+        apply: Processes the changes that were read.
+        is_incomplete: Returns whether data is missing that the store may provide.
+        revision: Revision at which the next watch continues; 0 to read all keys again.
         availability: Whether the store answers.
-        probes_store: Whether this one asks on while the store doesn't answer.
+        probes_store: Whether this follower keeps calling while the store does not
+            answer.
         task: Follows the store.
     """
 
     __slots__ = (
         "store",
-        "plan",
+        "options",
         "apply",
-        "is_hurried",
+        "is_incomplete",
         "revision",
         "availability",
         "probes_store",
@@ -138,65 +140,65 @@
     def __init__(
         self,
         store: LeasingStore,
-        plan: FollowOptions,
+        options: FollowOptions,
         apply: Apply,
-        is_hurried: Callable[[], bool],
+        is_incomplete: Callable[[], bool],
         availability: StoreAvailability,
         probes_store: bool = False,
     ) -> None:
         self.store = store
-        self.plan = plan
+        self.options = options
         self.apply = apply
-        self.is_hurried = is_hurried
+        self.is_incomplete = is_incomplete
         self.revision = 0
         self.availability = availability
         self.probes_store = probes_store
         self.task: asyncio.Task[None] | None = None
 
     async def start(self) -> None:
-        """Start to follow."""
+        """Start to follow the prefix."""
         self.task = start_loop(self.follow)
 
     async def stop(self) -> None:
-        """Stop to follow."""
+        """Stop following the prefix."""
         await end_tasks([self.task])
 
     async def follow(self) -> None:
         """Read and watch until cancelled."""
         backoff = Backoff(FIRST_BACKOFF_S, MAXIMUM_BACKOFF_S)
         while True:
-            result = await self.take_step()
+            result = await self.fetch_once()
             if isinstance(result, Err):
-                # The store may forget what a watch that was cut has not brought; a
-                # new one would wait for the next change.
+                # The store may drop changes that the failed watch did not deliver. A
+                # new watch would miss them, so all keys are read again.
                 self.revision = 0
-                self.note_failed(result.err_value)
+                self.record_failure(result.err_value)
                 await self.wait_for_store(backoff.choose_delay())
                 continue
             if self.probes_store:
                 self.availability.record_available()
             backoff.reset()
-            pause_s = self.plan.pause_s
-            if self.is_hurried():
-                pause_s = min(pause_s, HURRIED_PAUSE_S)
+            pause_s = self.options.pause_s
+            if self.is_incomplete():
+                pause_s = min(pause_s, INCOMPLETE_PAUSE_S)
             await self.pause(pause_s)
 
     async def pause(self, pause_s: float) -> None:
-        """Wait before the next call; the one that asks is woken by doubts."""
+        """Wait before the next call; a reported failure wakes the probing follower."""
         if self.probes_store:
             await self.availability.failure_reported.wait(pause_s)
         else:
             await asyncio.sleep(pause_s)
 
-    async def take_step(self) -> Result[None, StoreError]:
-        """Read all once, or wait for one answer of a watch."""
+    async def fetch_once(self) -> Result[None, StoreError]:
+        """Read all keys once, or make one watch call."""
         found: Result[StoreChanges | None, StoreError]
-        plan = self.plan
-        if self.revision == 0 or plan.watch_s == 0.0:
-            found = await self.store.read_prefix(plan.prefix, plan.allow_stale)
+        options = self.options
+        if self.revision == 0 or options.watch_s == 0.0:
+            found = await self.store.read_prefix(options.prefix, options.allow_stale)
         else:
             found = await self.store.watch_prefix(
-                plan.prefix, self.revision, plan.watch_s
+                options.prefix, self.revision, options.watch_s
             )
         if isinstance(found, Err):
             return found
@@ -209,19 +211,19 @@
         await self.apply(changes)
         return Ok(None)
 
-    def note_failed(self, error: StoreError) -> None:
-        """Note a call that failed; a watch may be cut while the store answers."""
+    def record_failure(self, error: StoreError) -> None:
+        """Report a failed call; a watch can fail although the store is available."""
         if self.probes_store:
             self.availability.record_unavailable(error)
             return
-        logger.bind(prefix=self.plan.prefix, kind=error.kind, reason=error.reason).info(
-            "store_call_failed"
-        )
+        logger.bind(
+            prefix=self.options.prefix, kind=error.kind, reason=error.reason
+        ).info("store_call_failed")
         self.availability.failure_reported.notify()
 
     async def wait_for_store(self, delay_s: float) -> None:
-        """Wait before the next call after one that failed."""
+        """Wait before the next call after a failed one."""
         if self.probes_store or self.availability.available_since_s is not None:
             await asyncio.sleep(delay_s)
         else:
-            await self.availability.restored.wait(LONGEST_WAIT_S)
+            await self.availability.restored.wait(MAXIMUM_WAIT_S)
--- a/ebonyrack/store/follower_test.py
+++ b/ebonyrack/store/follower_test.py
@@ -14,34 +14,34 @@
 
 
 class FakeStore:
-    """Answers reads and watches as the test says."""
+    """Returns queued results to reads and watches, then blocks."""
 
     def __init__(self):
-        self.answers = []
+        self.results = []
         self.calls = []
 
     async def read_prefix(self, prefix, allow_stale=False):
         self.calls.append("read")
-        return await self.answer()
+        return await self.next_result()
 
     async def watch_prefix(self, prefix, revision, wait_s):
         self.calls.append(f"watch {revision}")
-        return await self.answer()
+        return await self.next_result()
 
-    async def answer(self):
-        if self.answers:
-            return self.answers.pop(0)
+    async def next_result(self):
+        if self.results:
+            return self.results.pop(0)
         await asyncio.Event().wait()
 
 
-def build_follower(store, plan, availability, probes_store=False):
+def build_follower(store, options, availability, probes_store=False):
     seen = []
 
     async def apply(changes):
         seen.append(changes.revision)
 
     follower = StoreFollower(
-        store, plan, apply, lambda: False, availability, probes_store
+        store, options, apply, lambda: False, availability, probes_store
     )
     return follower, seen
 
@@ -53,47 +53,47 @@
                 await asyncio.sleep(0.01)
 
 
-async def test_a_watch_goes_on_from_what_was_read_and_reads_anew_after_lost_history():
+async def test_a_watch_continues_from_a_read_and_rereads_after_lost_history():
     store = FakeStore()
     whole = Ok(StoreChanges((), (), 7, is_complete=True))
-    store.answers = [whole, Ok(StoreChanges((), (), 9)), Ok(None), whole]
-    plan = FollowOptions("op/", watch_s=1.0, pause_s=0.0)
-    follower, seen = build_follower(store, plan, StoreAvailability())
+    store.results = [whole, Ok(StoreChanges((), (), 9)), Ok(None), whole]
+    options = FollowOptions("op/", watch_s=1.0, pause_s=0.0)
+    follower, seen = build_follower(store, options, StoreAvailability())
     await follow(follower, lambda: len(store.calls) == 5)
     assert store.calls == ["read", "watch 7", "watch 9", "read", "watch 7"]
     assert seen == [7, 9, 7]
 
 
-async def test_a_watch_that_is_cut_goes_on_at_once_while_the_store_answers():
+async def test_a_failed_watch_is_retried_at_once_while_the_store_is_available():
     store = FakeStore()
-    store.answers = [Ok(StoreChanges((), (), 7)), REFUSED, Ok(StoreChanges((), (), 8))]
+    store.results = [Ok(StoreChanges((), (), 7)), REFUSED, Ok(StoreChanges((), (), 8))]
     availability = StoreAvailability()
     availability.record_available()
-    plan = FollowOptions("op/", watch_s=1.0, pause_s=0.0)
-    follower, seen = build_follower(store, plan, availability)
+    options = FollowOptions("op/", watch_s=1.0, pause_s=0.0)
+    follower, seen = build_follower(store, options, availability)
     started_s = asyncio.get_running_loop().time()
     await follow(follower, lambda: seen == [7, 8])
     assert asyncio.get_running_loop().time() - started_s < 0.5
     assert availability.available_since_s is not None
 
 
-async def test_after_a_watch_was_cut_all_is_read_anew():
-    # A watch that is made anew right after the cut, before the store drops its
-    # history, hears of nothing that was changed before.
+async def test_all_keys_are_read_again_after_a_failed_watch():
+    # A new watch at the old revision would miss changes made before the failure if the
+    # store drops its history after that.
     store = FakeStore()
     whole = Ok(StoreChanges((), (), 7, is_complete=True))
-    store.answers = [whole, REFUSED, whole]
+    store.results = [whole, REFUSED, whole]
     availability = StoreAvailability()
     availability.record_available()
-    plan = FollowOptions("op/", watch_s=1.0, pause_s=0.0)
-    follower, _ = build_follower(store, plan, availability)
+    options = FollowOptions("op/", watch_s=1.0, pause_s=0.0)
+    follower, _ = build_follower(store, options, availability)
     await follow(follower, lambda: len(store.calls) == 4)
     assert store.calls == ["read", "watch 7", "read", "watch 7"]
 
 
-async def test_one_follower_asks_on_for_all_while_the_store_is_lost():
+async def test_a_follower_that_does_not_probe_waits_for_the_store():
     store = FakeStore()
-    store.answers = [REFUSED] * 3
+    store.results = [REFUSED] * 3
     availability = StoreAvailability()
     follower, _ = build_follower(store, FollowOptions("op/", watch_s=1.0), availability)
     async with follower:
@@ -104,11 +104,11 @@
         assert len(store.calls) == 2
 
 
-async def test_the_one_that_asks_does_so_at_once_when_a_call_of_another_has_failed():
-    # The store is stopped right after the entries were read; they are read again
-    # 3 s later, while callers wait to be let go.
+async def test_a_failed_call_of_another_follower_wakes_the_probing_one():
+    # Without that, a store that stops right after a read of the entries would count as
+    # available until the next one 3 s later, and callers would not be moved.
     asking, watching, availability = FakeStore(), FakeStore(), StoreAvailability()
-    asking.answers = [Ok(StoreChanges((), (), 7, is_complete=True)), REFUSED]
+    asking.results = [Ok(StoreChanges((), (), 7, is_complete=True)), REFUSED]
     entries, _ = build_follower(
         asking, FollowOptions("in/", pause_s=60.0), availability, True
     )
@@ -118,5 +118,5 @@
     async with entries:
         await asyncio.sleep(0.05)
         assert availability.unavailable_since_s is None
-        watching.answers = [REFUSED]
+        watching.results = [REFUSED]
         await follow(routes, lambda: availability.unavailable_since_s is not None)
--- a/ebonyrack/store/http_client.py
+++ b/ebonyrack/store/http_client.py
@@ -1,4 +1,4 @@
-"""HTTP calls to the platform: time-outs, and what is known after a failure."""
+"""HTTP client for the platform, with time-outs and classified failures."""
 
 from __future__ import annotations
 
@@ -17,36 +17,36 @@
 from ebonyrack.store.store_response import StoreErrorKind
 
 MAXIMUM_CONNECTIONS = 4
-KEEPALIVE_S = 30.0
-# Probes of TCP show within some seconds that a connection went silent for good, also
-# one on which an answer is held back: the first probe, the next ones, their number.
-PROBE_AFTER_S = 1
-PROBE_INTERVAL_S = 1
-PROBES = 2
-# The same for bytes that stay unacknowledged, in milliseconds.
-UNACKNOWLEDGED_MS = 2000
+IDLE_EXPIRY_S = 30.0
+# TCP keep-alive probes detect a dead connection within seconds, even while the server
+# holds a response back. Time to the first probe, interval and number of probes:
+KEEPALIVE_IDLE_S = 1
+KEEPALIVE_INTERVAL_S = 1
+KEEPALIVE_PROBES = 2
+# Limit on how long sent bytes may stay unacknowledged.
+USER_TIMEOUT_MS = 2000
 SocketOptions = tuple[tuple[int, int, int], ...]
 
 KEEPALIVE_OPTIONS: SocketOptions = (
     (socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1),
-    (socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, PROBE_AFTER_S),
-    (socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, PROBE_INTERVAL_S),
-    (socket.IPPROTO_TCP, socket.TCP_KEEPCNT, PROBES),
-    (socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, UNACKNOWLEDGED_MS),
+    (socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, KEEPALIVE_IDLE_S),
+    (socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, KEEPALIVE_INTERVAL_S),
+    (socket.IPPROTO_TCP, socket.TCP_KEEPCNT, KEEPALIVE_PROBES),
+    (socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, USER_TIMEOUT_MS),
 )
 
 
 @dataclass(frozen=True, slots=True)
 class HttpRequest:
-    """One call.
+    """One HTTP request.
 
     Attributes:
         method: HTTP method.
         target: Path and query, already quoted.
         body: Body of the request.
-        headers: Headers besides those that the client adds.
-        timeout_s: Seconds for connecting, and again for the answer.
-        wait_s: Seconds for which the other side may hold the answer back.
+        headers: Headers in addition to those that the client adds.
+        timeout_s: Seconds for connecting, and again for the response.
+        wait_s: Seconds for which the server may hold the response back.
     """
 
     method: str
@@ -59,7 +59,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HttpResponse:
-    """Status, headers and body of an answer, whatever the status is."""
+    """Status, headers and body of a response with any status."""
 
     status: int
     headers: tuple[tuple[bytes, bytes], ...]
@@ -67,16 +67,16 @@
 
 
 class HttpClient(Component):
-    """Connections to one address: an async context manager.
+    """HTTP client for one address: an async context manager.
 
-    A call that times out closes its connection, so that one which went silent is
-    not used again.
+    A request that times out closes its connection, so that a dead connection is not
+    reused.
 
     Attributes:
         address: Address of the service.
-        socket_options: Options of each connection; `KEEPALIVE_OPTIONS` for those on
-            which an answer may be held back for long.
-        pool: HTTP connections; set while open.
+        socket_options: Socket options of each connection; `KEEPALIVE_OPTIONS` if
+            responses may be held back for long.
+        pool: HTTP connection pool; None unless the client is open.
     """
 
     __slots__ = ("address", "socket_options", "pool")
@@ -87,10 +87,10 @@
         self.pool: httpcore.AsyncConnectionPool | None = None
 
     async def start(self) -> None:
-        """Prepare for HTTP connections; each is made when it is needed."""
+        """Open the connection pool; connections are made on demand."""
         self.pool = httpcore.AsyncConnectionPool(
             max_connections=MAXIMUM_CONNECTIONS,
-            keepalive_expiry=KEEPALIVE_S,
+            keepalive_expiry=IDLE_EXPIRY_S,
             socket_options=self.socket_options,
         )
 
@@ -100,27 +100,27 @@
             await self.pool.aclose()
             self.pool = None
 
-    async def send(self, call: HttpRequest) -> Result[HttpResponse, StoreError]:
-        """Make one call and sort what may come back.
+    async def send(self, request: HttpRequest) -> Result[HttpResponse, StoreError]:
+        """Send a request and classify a failure.
 
         Args:
-            call: The call.
+            request: The request.
 
         Returns:
-            The answer, or why there is none: UNREACHABLE if the call was surely not
-            sent, UNKNOWN if it may have been carried out or still will be.
+            The response, or the error: UNREACHABLE if the request was certainly not
+            sent, UNKNOWN if it may have taken effect or still may.
         """
         if self.pool is None:
-            return Err(StoreError(StoreErrorKind.UNREACHABLE, "the client isn't open"))
-        limits = dict.fromkeys(("connect", "write", "pool"), call.timeout_s)
-        limits["read"] = call.timeout_s + call.wait_s
+            return Err(StoreError(StoreErrorKind.UNREACHABLE, "the client is not open"))
+        limits = dict.fromkeys(("connect", "write", "pool"), request.timeout_s)
+        limits["read"] = request.timeout_s + request.wait_s
         try:
-            async with asyncio.timeout(2 * call.timeout_s + call.wait_s):
+            async with asyncio.timeout(2 * request.timeout_s + request.wait_s):
                 response = await self.pool.request(
-                    call.method,
-                    f"http://{self.address}{call.target}",
-                    content=call.body,
-                    headers=list(call.headers),
+                    request.method,
+                    f"http://{self.address}{request.target}",
+                    content=request.body,
+                    headers=list(request.headers),
                     extensions={"timeout": limits},
                 )
         except (
--- a/ebonyrack/store/leasing_store.py
+++ b/ebonyrack/store/leasing_store.py
@@ -1,4 +1,4 @@
-"""Interface of a store with leases, transactions and watches of a prefix."""
+"""Interface of a key-value store with leases, transactions and prefix watches."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
 
 @dataclass(frozen=True, slots=True)
 class StoreItem:
-    """A key with its value.
+    """A key and its value.
 
     Attributes:
         key: The key.
         value: The value.
-        revision: Revision of the store at the last change of the key.
-        created_revision: Revision at which the key was created.
+        revision: Store revision of the last change of the key.
+        created_revision: Store revision at which the key was created.
     """
 
     key: str
@@ -29,13 +29,13 @@
 
 @dataclass(frozen=True, slots=True)
 class StoreChanges:
-    """What a watch brought, or the whole of a prefix.
+    """Result of a watch, or all items with a prefix.
 
     Attributes:
         items: Items that were written.
-        deleted: Keys that are gone.
-        revision: Revision from which the next watch goes on.
-        is_complete: Whether `items` is all there is, in place of a change.
+        deleted: Keys that were deleted.
+        revision: Revision at which the next watch continues.
+        is_complete: Whether `items` are all items with the prefix rather than changes.
     """
 
     items: tuple[StoreItem, ...]
@@ -46,12 +46,12 @@
 
 @dataclass(frozen=True, slots=True)
 class StoreWrite:
-    """One key to write in a transaction.
+    """A conditional write of one key in a transaction.
 
     Attributes:
         key: The key.
         value: The value.
-        lease: Lease with which the key ends; 0 for none.
+        lease: Lease whose end deletes the key; 0 for none.
         expected_revision: Revision that the key must have; 0 if it must not exist.
     """
 
@@ -62,12 +62,12 @@
 
 
 class LeasingStore(Protocol):
-    """What the parts of a proxy use of the platform's store."""
+    """The platform's store, as the proxy's components use it."""
 
     async def read_prefix(
         self, prefix: str, allow_stale: bool = False
     ) -> Result[StoreChanges, StoreError]:
-        """Read all keys with a prefix; stale reads cost the store less."""
+        """Read all items with a prefix; stale reads cost the store less."""
 
     async def watch_prefix(
         self, prefix: str, revision: int, wait_s: float
@@ -75,16 +75,16 @@
         """Wait for changes after a revision; None if their history is lost."""
 
     async def write(self, write: StoreWrite) -> Result[int | None, StoreError]:
-        """Write a key on a condition; return the revision, None if it did not hold."""
+        """Write a key conditionally; return its revision, None if the check failed."""
 
     async def delete(self, key: str, revision: int) -> Result[bool, StoreError]:
-        """Delete a key that is still at a revision; return whether it was."""
+        """Delete a key if it still has a revision; return whether it was deleted."""
 
     async def read_key(self, key: str) -> Result[StoreItem | None, StoreError]:
         """Read one key."""
 
     async def grant_lease(self, ttl_s: float) -> Result[int, StoreError]:
-        """Start a lease."""
+        """Grant a lease and return its number."""
 
     async def renew_lease(self, lease: int) -> Result[bool, StoreError]:
-        """Renew a lease; return whether it was still there."""
+        """Renew a lease; return whether it still existed."""
--- a/ebonyrack/store/rate_limit.py
+++ b/ebonyrack/store/rate_limit.py
@@ -1,4 +1,4 @@
-"""A bound on the rate of calls."""
+"""Rate limit for calls."""
 
 from __future__ import annotations
 
@@ -8,37 +8,37 @@
 
 
 class RateLimit:
-    """A bucket of calls that refills with time.
+    """Token bucket with one token per call.
 
     Attributes:
-        rate: Calls that come free each second.
-        burst: Calls that may be made at once.
-        level: Calls that are free now; below 0 some wait for theirs.
-        filled_at_s: Time to which the level was brought up.
+        rate: Tokens added per second.
+        burst: Maximum number of tokens.
+        tokens: Available tokens; negative while reserved calls wait for theirs.
+        refilled_at_s: Monotonic time of the last refill.
     """
 
-    __slots__ = ("rate", "burst", "level", "filled_at_s")
+    __slots__ = ("rate", "burst", "tokens", "refilled_at_s")
 
     def __init__(self, rate: float) -> None:
         self.rate = rate
         self.burst = max(1.0, rate * BURST_S)
-        self.level = self.burst
-        self.filled_at_s = now_s()
+        self.tokens = self.burst
+        self.refilled_at_s = now_s()
 
     def reserve(self, limit_s: float) -> float | None:
-        """Take one call.
+        """Reserve a token for one call.
 
         Args:
-            limit_s: Longest wait that is worth while, in seconds.
+            limit_s: Longest acceptable wait in seconds.
 
         Returns:
-            Seconds to wait before the call is made, or None if it is too long.
+            Seconds to wait before the call, or None if the wait would be too long.
         """
-        elapsed_s = now_s() - self.filled_at_s
-        self.filled_at_s += elapsed_s
-        self.level = min(self.burst, self.level + elapsed_s * self.rate)
-        wait_s = max(0.0, (1 - self.level) / self.rate)
+        elapsed_s = now_s() - self.refilled_at_s
+        self.refilled_at_s += elapsed_s
+        self.tokens = min(self.burst, self.tokens + elapsed_s * self.rate)
+        wait_s = max(0.0, (1 - self.tokens) / self.rate)
         if wait_s > limit_s:
             return None
-        self.level -= 1
+        self.tokens -= 1
         return wait_s
--- a/ebonyrack/store/store_response.py
+++ b/ebonyrack/store/store_response.py
@@ -1,4 +1,4 @@
-"""What a call to the store brings: an answer, a value or an error."""
+"""Result of a call to the store: a response, a value or an error."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class StoreErrorKind(StrEnum):
-    """What is known of a call that brought no answer."""
+    """What is known about the effect of a failed call."""
 
     UNREACHABLE = "unreachable"
     UNKNOWN = "unknown"
@@ -28,12 +28,12 @@
 
 @dataclass(frozen=True, slots=True)
 class StoreError:
-    """A call that failed.
+    """Error of a failed call.
 
     Attributes:
-        kind: `UNREACHABLE` if it was surely not sent, `UNKNOWN` if it may have
-            taken effect, `REFUSED` if the store answered that it did not.
-        reason: What happened.
+        kind: `UNREACHABLE` if the call was certainly not sent, `UNKNOWN` if it may
+            have taken effect, `REFUSED` if the store reported that it did not.
+        reason: Description of the failure.
     """
 
     kind: StoreErrorKind
@@ -42,7 +42,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StoreValue:
-    """A value with the index that a compare-and-swap names."""
+    """A value and its index, which a compare-and-swap expects."""
 
     value: bytes
     index: int
@@ -50,36 +50,36 @@
 
 @dataclass(frozen=True, slots=True)
 class StoreResponse:
-    """Answer of the store to one HTTP call."""
+    """Response of the store to one HTTP call."""
 
     status: int
     index: int
     body: bytes
 
 
-def read_index(answer: HttpResponse) -> int:
-    """Return the index that a watch goes on from, 0 if there is none."""
-    for name, value in answer.headers:
+def read_index(response: HttpResponse) -> int:
+    """Return the index at which a watch continues, or 0 if there is none."""
+    for name, value in response.headers:
         if name.lower() == b"x-consul-index" and value.isdigit():
             return int(value)
     return 0
 
 
-def read_value(answer: StoreResponse) -> Result[StoreValue | None, StoreError]:
-    """Read the value out of an answer."""
-    if answer.status == 404:
+def read_value(response: StoreResponse) -> Result[StoreValue | None, StoreError]:
+    """Read the value from a response; None if the key does not exist."""
+    if response.status == 404:
         return Ok(None)
     try:
-        entry: Any = json.loads(answer.body)[0]
+        entry: Any = json.loads(response.body)[0]
         value = base64.b64decode(entry["Value"] or "", validate=True)
         return Ok(StoreValue(value, int(entry["ModifyIndex"])))
     except (ValueError, LookupError, TypeError, binascii.Error) as error:
-        return Err(StoreError(StoreErrorKind.UNKNOWN, f"bad answer: {error!r}"))
+        return Err(StoreError(StoreErrorKind.UNKNOWN, f"malformed response: {error!r}"))
 
 
-def read_success(answer: StoreResponse) -> Result[bool, StoreError]:
-    """Read whether a swap was made."""
-    text = answer.body.strip()
+def read_success(response: StoreResponse) -> Result[bool, StoreError]:
+    """Read whether a compare-and-swap succeeded."""
+    text = response.body.strip()
     if text in (b"true", b"false"):
         return Ok(text == b"true")
-    return Err(StoreError(StoreErrorKind.UNKNOWN, f"bad answer: {text[:80]!r}"))
+    return Err(StoreError(StoreErrorKind.UNKNOWN, f"malformed response: {text[:80]!r}"))
--- a/ebonyrack/store/vm_list.py
+++ b/ebonyrack/store/vm_list.py
@@ -21,11 +21,11 @@
 
 @dataclass(frozen=True, slots=True)
 class VmListing:
-    """One answer of the VM list.
+    """One version of the VM list.
 
     Attributes:
-        index: Index that the next watch names.
-        leaving: Names of the VMs that are leaving.
+        index: Index at which the next watch continues.
+        leaving: Names of the leaving VMs.
     """
 
     index: int
@@ -36,11 +36,11 @@
 
 
 class VmList:
-    """Client of the VM list. The list lags behind reality, so it is a hint.
+    """Client of the VM list, which lags behind reality and serves as a hint.
 
     Attributes:
-        store: The store's client; the list is part of the same service.
-        listing: The last answer.
+        store: Client of the store; the same service provides the list.
+        listing: The latest known version.
     """
 
     __slots__ = ("store", "listing")
@@ -51,31 +51,31 @@
 
     @property
     def leaving(self) -> frozenset[str]:
-        """Names of the leaving VMs, as last heard."""
+        """Names of the leaving VMs in the latest known version."""
         return self.listing.leaving
 
     async def watch(self, wait_s: float) -> Result[VmListing, StoreError]:
-        """Wait for a change of the list and take it over.
+        """Wait for a change of the list and store the new version.
 
         Args:
-            wait_s: Seconds after which the store answers in any case.
+            wait_s: Seconds after which the store responds in any case.
 
         Returns:
-            The list, or why it isn't known.
+            The list, or the error.
         """
-        answer = await self.store.watch_path(
+        response = await self.store.watch_path(
             "watch_vms", NODES_PATH, self.listing.index, wait_s
         )
-        found = answer.and_then(read_listing)
+        found = response.and_then(read_listing)
         if isinstance(found, Ok):
             self.listing = found.ok_value
         return found
 
     def update_if_newer(self, listing: VmListing) -> bool:
-        """Take over what a peer heard, unless it is older.
+        """Replace the known version by a peer's if that is newer.
 
         Args:
-            listing: The peer's list.
+            listing: The peer's version.
 
         Returns:
             Whether it was newer.
@@ -86,15 +86,15 @@
         return True
 
 
-def read_listing(answer: StoreResponse) -> Result[VmListing, StoreError]:
-    """Read the names of the leaving VMs out of an answer."""
+def read_listing(response: StoreResponse) -> Result[VmListing, StoreError]:
+    """Read the leaving VMs from a response."""
     try:
-        nodes: list[dict[str, Any]] = json.loads(answer.body)
+        nodes: list[dict[str, Any]] = json.loads(response.body)
         leaving = frozenset(
             str(node["Node"])
             for node in nodes
             if (node.get("Meta") or {}).get("state") == LEAVING_STATE
         )
     except (ValueError, LookupError, TypeError, AttributeError) as error:
-        return Err(StoreError(StoreErrorKind.UNKNOWN, f"bad answer: {error!r}"))
-    return Ok(VmListing(answer.index, leaving))
+        return Err(StoreError(StoreErrorKind.UNKNOWN, f"malformed response: {error!r}"))
+    return Ok(VmListing(response.index, leaving))
