--- a/ebonyrack/failover/detector.py
+++ b/ebonyrack/failover/detector.py
@@ -31,7 +31,7 @@
 
     @property
     def needs_votes(self) -> bool:
-        """Whether peers must confirm it: only this proxy's link may have failed."""
+        """Whether peers must vote, as perhaps only this proxy's link has failed."""
         return self in (
             FailureReason.REFUSED,
             FailureReason.SILENT,
--- a/ebonyrack/failover/group_machine_test.py
+++ b/ebonyrack/failover/group_machine_test.py
@@ -333,5 +333,5 @@
             writer.check(requests)
 
 
-def test_random_faults_lose_no_acknowledged_write():
+def test_random_faults_violate_no_guarantee():
     run_state_machine_as_test(GroupMachine, settings=MACHINE_SETTINGS)
--- a/ebonyrack/failover/repair.py
+++ b/ebonyrack/failover/repair.py
@@ -65,8 +65,8 @@
             upstream: An upstream other than the primary.
 
         Returns:
-            Whether it does not follow, or has received nothing for too long, and is
-            not fenced above the group's term, where an order would have no effect.
+            Whether it does not follow, or has received nothing for too long, and has
+            not seen a higher term than the group's, which only `Renewal` can solve.
         """
         status = upstream.status
         if not upstream.is_reachable or status is None:
--- a/ebonyrack/failover/switchover.py
+++ b/ebonyrack/failover/switchover.py
@@ -1,4 +1,4 @@
-"""Planned switchover: moves a primary without lost writes or cut requests."""
+"""Planned switchover: no acknowledged write is lost and no request is cut."""
 
 from __future__ import annotations
 
--- a/ebonyrack/store/vm_list.py
+++ b/ebonyrack/store/vm_list.py
@@ -55,7 +55,7 @@
         return self.listing.leaving
 
     async def watch(self, wait_s: float) -> Result[VmListing, StoreError]:
-        """Wait for a change of the list and store the new version.
+        """Wait for a change of the list and remember the new version.
 
         Args:
             wait_s: Seconds after which the store responds in any case.
