--- a/ebonyrack/config/__init__.py
+++ b/ebonyrack/config/__init__.py
@@ -1,1 +1,1 @@
-"""The operators' document: sections, checks and edits."""
+"""The operators' configuration document: sections, checks and edits."""
--- a/ebonyrack/config/authentication.py
+++ b/ebonyrack/config/authentication.py
@@ -1,4 +1,4 @@
-"""Which operator is at the other side of a link."""
+"""Authentication of operators on links."""
 
 from __future__ import annotations
 
@@ -22,11 +22,11 @@
 
 
 class OperatorAuthentication:
-    """Lets operators prove who they are by SCRAM.
+    """Authenticates operators by SCRAM.
 
     Attributes:
         state: The document in force, with the operators' verifiers.
-        exchanges: SCRAM exchange that runs on a link.
+        exchanges: Unfinished SCRAM exchange of each link.
     """
 
     __slots__ = ("state", "exchanges")
@@ -43,7 +43,7 @@
     async def authenticate(
         self, link: PeerLink, message: AuthenticateRequest
     ) -> Message:
-        """Serve one message of an operator's SCRAM exchange."""
+        """Handle one message of an operator's SCRAM exchange."""
         try:
             return AuthenticateReply(self.advance_exchange(link, message))
         except (ScramException, ValueError) as error:
@@ -51,16 +51,16 @@
             logger.bind(operator=message.operator, reason=str(error)).warning(
                 "operator_refused"
             )
-            return Failure("the operator is not known or the password is wrong")
+            return Failure("unknown operator or wrong password")
 
     def advance_exchange(self, link: PeerLink, message: AuthenticateRequest) -> str:
-        """Return the proxy's next message of an exchange.
+        """Advance an exchange and return the proxy's next message.
 
         Raises:
             ScramException: If the proof is wrong.
             ValueError: If there is no such operator.
         """
-        self.forget_closed()
+        self.remove_closed_exchanges()
         server = self.exchanges.pop(link, None)
         if server is None:
             server = self.start_exchange(message.operator)
@@ -73,8 +73,8 @@
         link.operator = message.operator
         return answer
 
-    def forget_closed(self) -> None:
-        """Drop the exchanges of links that ended."""
+    def remove_closed_exchanges(self) -> None:
+        """Remove the exchanges of links that have ended."""
         for link in [link for link in self.exchanges if link.is_closed.is_set()]:
             del self.exchanges[link]
 
@@ -97,9 +97,9 @@
         return ScramMechanism(MECHANISM).make_server(find_keys)
 
     def is_authenticated(self, link: PeerLink, name: str) -> bool:
-        """Tell whether the other side of a link is an operator.
+        """Return whether the other side of a link is an operator.
 
-        An operator without a verifier is trusted for knowing the shared secret.
+        An operator without a verifier is trusted because it knows the shared secret.
         """
         if link.remote is None or link.remote.role != OPERATOR_ROLE:
             return False
--- a/ebonyrack/config/conftest.py
+++ b/ebonyrack/config/conftest.py
@@ -1,4 +1,4 @@
-"""Proxies that run the control plane only."""
+"""Fixtures with proxies that run only the control plane."""
 
 from collections.abc import AsyncIterator
 
@@ -9,6 +9,6 @@
 
 @pytest.fixture
 async def fleet() -> AsyncIterator[Fleet]:
-    """Return the platform and no proxies yet."""
+    """Return a started platform without any proxies."""
     async with Fleet() as made:
         yield made
--- a/ebonyrack/config/document.py
+++ b/ebonyrack/config/document.py
@@ -1,4 +1,4 @@
-"""The operators' document: parsed, checked as a whole, one record for a revision."""
+"""Parsing and validation of the operators' document."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
     Attributes:
         revision: Number of the revision; 0 is the empty document.
         text: The INI text.
-        texts: Title of each section to its text.
+        texts: Text of each section by its title.
         groups: Database groups by name.
         applications: Booking applications by name.
         networks: Networks by name.
@@ -59,57 +59,57 @@
     source: str = "document",
     previous: Document = EMPTY_DOCUMENT,
 ) -> tuple[Document | None, tuple[ConfigError, ...]]:
-    """Read and check a document as a whole.
+    """Parse and validate a document.
 
     Args:
         text: The INI text.
         revision: Revision that the text is or would become.
-        source: Name of the text, for faults.
-        previous: A document of which unchanged sections are taken over.
+        source: Name of the text, for error messages.
+        previous: Document whose unchanged sections are reused.
 
     Returns:
-        The document, or None with every fault found.
+        The document, or None with every error found.
     """
-    document = parse_changes(text, revision, source, previous)
+    document = parse_changed_sections(text, revision, source, previous)
     if document is not None:
         return document, ()
-    return parse_whole(text, revision, source)
+    return parse_all_sections(text, revision, source)
 
 
-def parse_whole(
+def parse_all_sections(
     text: str, revision: int, source: str
 ) -> tuple[Document | None, tuple[ConfigError, ...]]:
-    """Read all sections; list the faults of the whole document."""
-    sections, faults = parse_ini(text, source)
-    if faults:
-        return None, faults
-    found: list[ConfigError] = []
+    """Parse all sections and collect the errors of the whole document."""
+    sections, errors = parse_ini(text, source)
+    if errors:
+        return None, errors
+    all_errors: list[ConfigError] = []
     records: Records = {kind: {} for kind in SECTION_KINDS}
     for title, values in sections.items():
-        record, section_faults = read_section(title, values, source)
-        found.extend(section_faults)
+        record, section_errors = parse_section(title, values, source)
+        all_errors.extend(section_errors)
         kind, _, name = title.partition(" ")
         if kind in records and name:
             records[kind][name] = record
-    found.extend(check_headers(text, sections, source))
-    found.extend(check_references(records, source))
-    if found:
-        return None, tuple(found)
+    all_errors.extend(check_headers(text, sections, source))
+    all_errors.extend(check_references(records, source))
+    if all_errors:
+        return None, tuple(all_errors)
     return build_document(text, revision, split_sections(text), records), ()
 
 
-def read_section(
+def parse_section(
     title: str, values: dict[str, str], source: str
 ) -> tuple[Any, tuple[ConfigError, ...]]:
-    """Read one section by the kind that its title names.
+    """Parse one section according to the kind in its title.
 
     Args:
         title: Title of the section, such as `group NAME`.
         values: Key to value.
-        source: Name of the text, for faults.
+        source: Name of the text, for error messages.
 
     Returns:
-        The record, or None with all faults of the section.
+        The record, or None with all errors of the section.
     """
     kind, _, name = title.partition(" ")
     if kind not in SECTION_KINDS or not name:
@@ -118,36 +118,36 @@
     return check_section(SECTION_KINDS[kind], values, source, title)
 
 
-def parse_changes(
+def parse_changed_sections(
     text: str, revision: int, source: str, previous: Document
 ) -> Document | None:
-    """Read only the sections that differ from a document.
+    """Parse only the sections that differ from a previous document.
 
-    Large documents change by a section at a time, and reading all of one would
-    hold up the requests of the process.
+    Large documents change one section at a time, and parsing all of one would
+    delay the requests that the process serves.
 
     Args:
         text: The INI text.
         revision: Revision that the text is or would become.
-        source: Name of the text, for faults.
-        previous: The document to which it is compared.
+        source: Name of the text, for error messages.
+        previous: Document to compare with.
 
     Returns:
-        The document, or None if there is any fault.
+        The document, or None if there is any error.
     """
     texts = split_sections(text)
     known = previous.texts
     changed = {title: body for title, body in texts.items() if known.get(title) != body}
-    sections, faults = parse_ini("".join(changed.values()), source)
-    is_plain = "".join(texts.values()) == text
-    if faults or not is_plain or set(sections) != set(changed) - {PREAMBLE}:
+    sections, errors = parse_ini("".join(changed.values()), source)
+    is_lossless_split = "".join(texts.values()) == text
+    if errors or not is_lossless_split or set(sections) != set(changed) - {PREAMBLE}:
         return None
     records: Records = {kind: {} for kind in SECTION_KINDS}
     for title in texts:
         kind, _, name = title.partition(" ")
         if title in sections:
-            record, faults = read_section(title, sections[title], source)
-            if faults:
+            record, errors = parse_section(title, sections[title], source)
+            if errors:
                 return None
             records[kind][name] = record
         elif title != PREAMBLE:
@@ -170,7 +170,7 @@
 def build_document(
     text: str, revision: int, texts: dict[str, str], records: Records
 ) -> Document:
-    """Build the record of a document that has no faults."""
+    """Build a document from records without errors."""
     return Document(
         revision=revision,
         text=text,
@@ -185,21 +185,21 @@
 def check_headers(
     text: str, sections: dict[str, dict[str, str]], source: str
 ) -> tuple[ConfigError, ...]:
-    """Check that sections begin where an edit takes them to begin.
+    """Check that the INI parser and `split_sections` find the same sections.
 
-    Who may change what is decided by the text of a section, so there must be no
-    second way to write a header, nor values that reach into other sections.
+    Permission to change a section depends on its text as split, so there must be
+    no second way to write a header and no value that extends into other sections.
 
     Args:
         text: The INI text.
         sections: Title to values, as parsed.
-        source: Name of the text, for faults.
+        source: Name of the text, for error messages.
 
     Returns:
-        One fault for each title that is read in two ways.
+        One error for each title that only one of the two finds.
     """
     titles = {title for title in split_sections(text) if title}
     return tuple(
-        ConfigError(source, title, "", "a header must be [KIND NAME] alone in its line")
+        ConfigError(source, title, "", "a header must be [KIND NAME] alone on its line")
         for title in sorted(titles ^ set(sections))
     )
--- a/ebonyrack/config/document_test.py
+++ b/ebonyrack/config/document_test.py
@@ -1,9 +1,9 @@
 import pytest
 
+from ebonyrack.config.document import parse_all_sections
 from ebonyrack.config.document import parse_document
-from ebonyrack.config.document import parse_whole
 
-GOOD = """
+VALID_TEXT = """
 [group scheduling-a]
 owner = databases
 upstreams = up-1=127.0.2.1:5432@bangkok-1, up-2=127.0.2.2:5432@bangkok-2
@@ -16,29 +16,29 @@
 """
 
 
-def list_places(text):
-    document, faults = parse_document(text, 7)
+def list_error_keys(text):
+    document, errors = parse_document(text, 7)
     assert document is None
-    return {(fault.section, fault.key) for fault in faults}
+    return {(error.section, error.key) for error in errors}
 
 
-def test_good_document_is_read():
-    document, faults = parse_document(GOOD, 7)
-    assert faults == ()
+def test_valid_document_is_parsed():
+    document, errors = parse_document(VALID_TEXT, 7)
+    assert errors == ()
     assert document.revision == 7
     group = document.groups["scheduling-a"]
     assert [upstream.name for upstream in group.upstreams] == ["up-1", "up-2", "up-3"]
 
 
-def test_all_faults_are_listed():
-    text = GOOD.replace("@nonthaburi", "") + "[colour red]\nx = 1\n"
-    document, faults = parse_document(text, 7)
+def test_all_errors_are_reported():
+    text = VALID_TEXT.replace("@nonthaburi", "") + "[colour red]\nx = 1\n"
+    document, errors = parse_document(text, 7)
     assert document is None
-    assert {fault.section for fault in faults} == {"group scheduling-a", "colour red"}
+    assert {error.section for error in errors} == {"group scheduling-a", "colour red"}
 
 
-def test_faults_across_sections_are_listed_together():
-    text = GOOD.replace("groups = scheduling-a", "groups = nowhere")
+def test_errors_across_sections_are_reported_together():
+    text = VALID_TEXT.replace("groups = scheduling-a", "groups = nowhere")
     text = text.replace("up-2=127.0.2.2", "up-2=127.0.2.1")
     text = text.replace(
         "owner = databases",
@@ -48,7 +48,7 @@
         "[application other]\nowner = x\nuser = booking\nverifier =\n"
         "groups = scheduling-a\n"
     )
-    assert list_places(text) == {
+    assert list_error_keys(text) == {
         ("group scheduling-a", "leaving"),
         ("group scheduling-a", "connection_reserve"),
         ("group scheduling-a", "upstreams"),
@@ -58,7 +58,7 @@
 
 
 @pytest.mark.parametrize(
-    ("keys", "is_fault"),
+    ("keys", "is_error"),
     [
         ("slow_answer_s = 0.3\nsuspect_after_s = 0.3", True),
         ("slow_answer_s = 0.2\nsuspect_after_s = 0.3", False),
@@ -66,27 +66,27 @@
         ("suspect_after_s = 0.1", False),
     ],
 )
-def test_slow_answers_must_be_below_lost_ones(keys, is_fault):
-    text = GOOD.replace("owner = databases", f"owner = databases\n{keys}")
-    _, faults = parse_document(text, 7)
-    assert [fault.key for fault in faults] == ["slow_answer_s"] * is_fault
+def test_slow_answer_s_must_be_below_suspect_after_s(keys, is_error):
+    text = VALID_TEXT.replace("owner = databases", f"owner = databases\n{keys}")
+    _, errors = parse_document(text, 7)
+    assert [error.key for error in errors] == ["slow_answer_s"] * is_error
 
 
 @pytest.mark.parametrize("key", ["read_policy", "acknowledge_policy", "contract"])
-def test_unknown_policies_are_faults(key):
-    text = GOOD.replace("owner = databases", f"owner = databases\n{key} = other")
-    assert list_places(text) == {("group scheduling-a", key)}
+def test_unknown_policies_are_rejected(key):
+    text = VALID_TEXT.replace("owner = databases", f"owner = databases\n{key} = other")
+    assert list_error_keys(text) == {("group scheduling-a", key)}
 
 
 @pytest.mark.parametrize(
     "line",
     ["  [operator eve]", "\x0b[operator eve]", "[DEFAULT]", "[operator eve]x]"],
 )
-def test_no_header_can_hide_in_another_section(line):
-    hidden = f"[network siam]\n{line}\nacts_for = administrators\nowner = x\n"
-    document, faults = parse_document(GOOD + hidden, 7)
+def test_headers_that_are_split_differently_are_rejected(line):
+    text = f"[network siam]\n{line}\nacts_for = administrators\nowner = x\n"
+    document, errors = parse_document(VALID_TEXT + text, 7)
     assert document is None
-    assert any("header" in fault.text for fault in faults)
+    assert any("header" in error.text for error in errors)
 
 
 @pytest.mark.parametrize(
@@ -103,29 +103,31 @@
         ("[group scheduling-a]", "# A note.\n[group scheduling-a]"),
         ("[group scheduling-a]", "x = 1\n[group scheduling-a]"),
         ("owner = databases", "owner = databases\nowner = others"),
-        (GOOD, ""),
+        (VALID_TEXT, ""),
     ],
 )
-def test_a_document_read_by_its_changes_is_the_same(old, new):
-    previous, _ = parse_document(GOOD, 1)
-    text = GOOD.replace(old, new)
-    assert parse_document(text, 2, previous=previous) == parse_whole(
+def test_incremental_parsing_equals_full_parsing(old, new):
+    previous, _ = parse_document(VALID_TEXT, 1)
+    text = VALID_TEXT.replace(old, new)
+    assert parse_document(text, 2, previous=previous) == parse_all_sections(
         text, 2, "document"
     )
 
 
-def test_unchanged_sections_are_taken_over():
-    previous, _ = parse_document(GOOD, 1)
-    document, _ = parse_document(GOOD.replace("user =", "user  ="), 2, "x", previous)
+def test_unchanged_sections_are_reused():
+    previous, _ = parse_document(VALID_TEXT, 1)
+    document, _ = parse_document(
+        VALID_TEXT.replace("user =", "user  ="), 2, "x", previous
+    )
     assert document.groups["scheduling-a"] is previous.groups["scheduling-a"]
 
 
-def test_upstreams_are_in_data_centres_that_a_network_has():
+def test_upstreams_must_be_in_data_centres_of_a_network():
     network = "[network siam]\nowner = network\ndata_centres = {}\n"
     all_three = network.format("bangkok-1 bangkok-2 nonthaburi")
-    assert parse_document(GOOD + all_three, 7)[1] == ()
-    faults = parse_document(GOOD + network.format("bangkok-1 bangkok-2"), 7)[1]
-    assert [(fault.section, fault.key) for fault in faults] == [
+    assert parse_document(VALID_TEXT + all_three, 7)[1] == ()
+    errors = parse_document(VALID_TEXT + network.format("bangkok-1 bangkok-2"), 7)[1]
+    assert [(error.section, error.key) for error in errors] == [
         ("group scheduling-a", "upstreams")
     ]
-    assert "nonthaburi" in faults[0].text
+    assert "nonthaburi" in errors[0].text
--- a/ebonyrack/config/edit.py
+++ b/ebonyrack/config/edit.py
@@ -1,4 +1,4 @@
-"""What an operator wants changed in the document, and what becomes of it."""
+"""An operator's edit of the document and its possible outcomes."""
 
 from __future__ import annotations
 
@@ -12,15 +12,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Edit:
-    """What an operator wants changed.
+    """A change of the document that an operator requests.
 
     Attributes:
         edit_id: Identity of the edit; a repeat with the same one changes nothing.
         operator: Name of the operator.
-        base_revision: Revision that the operator started from.
+        base_revision: Revision that the edit is based on.
         changes: Title of each changed section to its new text, None to remove it.
-        expected: Title of each changed section to the digest of the text that the
-            operator started from.
+        expected: Title of each changed section to the digest of its text in the
+            base revision.
         is_repeat: Whether an earlier attempt with this identity may have been made.
     """
 
@@ -34,18 +34,19 @@
 
 @dataclass(frozen=True, slots=True)
 class Accepted:
-    """The edit is part of the document from a revision on."""
+    """The edit is part of the document since a revision."""
 
     revision: int
 
 
 @dataclass(frozen=True, slots=True)
 class Refused:
-    """The edit is not part of the document and a repeat is refused too.
+    """The edit is not part of the document, and a repeat would be refused too.
 
     Attributes:
-        reasons: Faults, sections that the operator may not change, or a lost race.
-        difference: Unified diff to the document in force, for a lost race.
+        reasons: Configuration errors, sections that the operator may not change, or
+            conflicts with another edit.
+        difference: Unified diff to the document in force, for a conflict.
     """
 
     reasons: tuple[str, ...]
@@ -61,7 +62,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Unknown:
-    """Whether the edit took effect isn't known; a repeat with its identity tells."""
+    """The effect of the edit is unknown; a repeat with its identity resolves it."""
 
     edit_id: str
     reason: str
@@ -76,8 +77,8 @@
     Args:
         edit_id: Identity of the edit.
         operator: Name of the operator.
-        base: Document that the operator started from.
-        wanted: The document as the operator wants it.
+        base: Document that the edit is based on.
+        wanted: Text of the document that the operator wants.
 
     Returns:
         The edit.
--- a/ebonyrack/config/edit_attempt.py
+++ b/ebonyrack/config/edit_attempt.py
@@ -1,4 +1,4 @@
-"""One edit on its way into the store: merged, then accepted by compare-and-swap."""
+"""Merging one edit into the stored document by compare-and-swap."""
 
 from __future__ import annotations
 
@@ -30,14 +30,14 @@
 
 
 class EditAttempt:
-    """One edit on its way into the store.
+    """Merges one edit into the stored document, with retries until a deadline.
 
     Attributes:
         store: The platform's store.
         state: Document in force on this proxy.
-        edit: What is to be changed.
-        deadline_s: Monotonic time by which it ends.
-        pending_index: Index named by a swap whose answer was lost, or None.
+        edit: The requested change.
+        deadline_s: Monotonic time at which the attempt ends.
+        pending_index: Index expected by a swap whose answer was lost, or None.
         reason: Why the last step failed.
     """
 
@@ -63,32 +63,32 @@
         self.edit = edit
         self.deadline_s = deadline_s
         self.pending_index: int | None = None
-        self.reason = "no time was left"
+        self.reason = "the deadline passed"
         self.backoff = Backoff(FIRST_BACKOFF_S, MAXIMUM_BACKOFF_S)
 
     async def run(self) -> Outcome:
-        """Read, check and swap until the outcome is sure or the time is over."""
+        """Read, check and swap until the outcome is certain or the deadline passes."""
         try:
             async with asyncio.timeout(self.deadline_s - now_s()):
                 while True:
-                    outcome = await self.try_once()
+                    outcome = await self.attempt_once()
                     if outcome is not None:
                         return outcome
                     await asyncio.sleep(self.backoff.choose_delay())
         except TimeoutError:
-            return self.give_up()
+            return self.build_timeout_outcome()
 
-    def give_up(self) -> Outcome:
-        """Tell truthfully what is known when the time is over."""
+    def build_timeout_outcome(self) -> Outcome:
+        """Return what is certain about the edit when the deadline passes."""
         if self.pending_index is not None or self.edit.is_repeat:
             return Unknown(self.edit.edit_id, self.reason)
         return NotAccepted(self.reason)
 
-    async def try_once(self) -> Outcome | None:
+    async def attempt_once(self) -> Outcome | None:
         """Read, check and swap once.
 
         Returns:
-            The outcome, or None if another try is needed.
+            The outcome, or None if another attempt is needed.
         """
         found = await self.read_current()
         if found is None:
@@ -96,26 +96,28 @@
         stored, index = found
         record = stored.find_edit(self.edit.edit_id)
         if record is not None:
-            self.state.offer(stored, "store")
+            self.state.apply_if_newer(stored, "store")
             return Accepted(record.revision)
         if not self.edit.changes:
             return Unknown(self.edit.edit_id, "it has not taken effect so far")
-        if not stored.reaches_back_to(self.edit.base_revision):
-            return Unknown(self.edit.edit_id, "the history doesn't reach back so far")
+        if not stored.covers_edits_after(self.edit.base_revision):
+            return Unknown(
+                self.edit.edit_id, "the history doesn't reach back to its base"
+            )
         if self.pending_index is not None and index > self.pending_index:
-            # Another change took the index that the lost swap named.
+            # The index has advanced, so the lost swap can no longer take effect.
             self.pending_index = None
         checked = check_edit(self.edit, stored, self.state.document)
         if isinstance(checked, Refused):
-            return self.refuse(checked)
+            return self.confirm_refusal(checked)
         return await self.swap(checked, index)
 
-    def refuse(self, refusal: Refused) -> Outcome | None:
-        """Refuse, unless a lost swap of this attempt may still take effect.
+    def confirm_refusal(self, refusal: Refused) -> Outcome | None:
+        """Return a refusal, unless a lost swap of this attempt may still take effect.
 
-        An earlier attempt needs no such wait: it swapped only if the document that
-        it read allowed the edit, so the document has changed since then and the
-        index that it named is gone.
+        A swap of an earlier attempt needs no such wait: it was sent only if the
+        document of that time allowed the edit, so the document has changed since
+        then and the index that the swap expects is outdated.
         """
         if self.pending_index is not None:
             self.reason = "; ".join(refusal.reasons)
@@ -123,7 +125,7 @@
         return refusal
 
     async def read_current(self) -> tuple[StoredDocument, int] | None:
-        """Read the newest document and its index, None if that failed."""
+        """Read the newest document and its index; return None on failure."""
         answer = await self.store.get(DOCUMENT_KEY)
         if isinstance(answer, Err):
             self.reason = f"reading failed: {answer.err_value.reason}"
@@ -137,17 +139,17 @@
         known = max(self.state.revision, self.edit.base_revision)
         if stored.revision < known:
             self.reason = (
-                f"the store answers revision {stored.revision}, {known} is known"
+                f"the store returned revision {stored.revision}, but {known} is known"
             )
             return None
         return stored, 0 if value is None else value.index
 
     async def swap(self, stored: StoredDocument, index: int) -> Outcome | None:
-        """Try to replace the document of an index."""
-        # Until the answer is there, the swap may take effect at any moment.
+        """Try to replace the document that has an index."""
+        # The swap may take effect at any time until its answer arrives.
         earlier = self.pending_index
         self.pending_index = max(index, earlier or 0)
-        self.reason = "the answer to the swap is outstanding"
+        self.reason = "the swap has not been answered"
         answer = await self.store.compare_and_swap(
             DOCUMENT_KEY, pack_stored(stored), index
         )
@@ -157,8 +159,8 @@
                 self.pending_index = earlier
             return None
         if answer.ok_value:
-            self.state.offer(stored, "edit")
+            self.state.apply_if_newer(stored, "edit")
             return Accepted(stored.revision)
-        self.reason = "other edits won the race"
+        self.reason = "another edit was accepted first"
         self.pending_index = earlier
         return None
--- a/ebonyrack/config/edit_check.py
+++ b/ebonyrack/config/edit_check.py
@@ -26,46 +26,46 @@
     """Check an edit against a document as a whole.
 
     Args:
-        edit: What is to be changed.
+        edit: The requested change.
         stored: The document that it would change.
-        in_force: A document of which unchanged sections needn't be read again.
+        in_force: Document whose unchanged sections needn't be parsed again.
 
     Returns:
-        Why it is refused, or the document with the change.
+        The refusal, or the document with the change.
     """
     conflict = find_conflict(edit, stored)
     if conflict is not None:
         return conflict
     text = apply_changes(stored.text, edit.changes)
     revision = stored.revision + 1
-    found, _ = parse_document(stored.text, stored.revision, previous=in_force)
-    present = found or EMPTY_DOCUMENT
-    wanted, faults = parse_document(text, revision, previous=present)
+    parsed, _ = parse_document(stored.text, stored.revision, previous=in_force)
+    current = parsed or EMPTY_DOCUMENT
+    wanted, errors = parse_document(text, revision, previous=current)
     if wanted is None:
-        return Refused(tuple(str(fault) for fault in faults))
-    present_time_s = int(time.time())
-    denied = find_denied_sections(edit, present, wanted)
-    denied += check_upstream_changes(present, wanted, stored.history, present_time_s)
+        return Refused(tuple(str(error) for error in errors))
+    current_time_s = int(time.time())
+    denied = find_denied_sections(edit, current, wanted)
+    denied += check_upstream_changes(current, wanted, stored.history, current_time_s)
     if denied:
         return Refused(denied)
     record = EditRecord(
-        revision, edit.edit_id, edit.operator, present_time_s, tuple(edit.changes)
+        revision, edit.edit_id, edit.operator, current_time_s, tuple(edit.changes)
     )
     history = trim_history((*stored.history, record))
     return StoredDocument(revision, text, history)
 
 
 def find_conflict(edit: Edit, stored: StoredDocument) -> Refused | None:
-    """Find the sections that another edit changed since this one's base."""
+    """Refuse an edit of sections that another one changed since its base."""
     sections = split_sections(stored.text)
     differences = []
     reasons = []
     for title, wanted in edit.changes.items():
-        present = sections.get(title, "")
-        if compute_digest(present) == edit.expected.get(title):
+        current = sections.get(title, "")
+        if compute_digest(current) == edit.expected.get(title):
             continue
         reasons.append(f"[{title}] was changed after revision {edit.base_revision}")
-        differences.append(build_difference(wanted or "", present, title))
+        differences.append(build_difference(wanted or "", current, title))
     if not reasons:
         return None
     return Refused(tuple(reasons), "".join(differences))
--- a/ebonyrack/config/edit_handler.py
+++ b/ebonyrack/config/edit_handler.py
@@ -1,4 +1,4 @@
-"""Takes operators' edits that reach a proxy and says who runs which revision."""
+"""Handling of operators' edits and of queries for the running revisions."""
 
 from __future__ import annotations
 
@@ -28,12 +28,12 @@
 from ebonyrack.peers.message import Message
 from ebonyrack.store.consul_store import ConsulStore
 
-MAXIMUM_LIMIT_S = 60.0
-MAXIMUM_EDITS = 8
-MAXIMUM_ASKED_AT_ONCE = 16
-ASK_TIMEOUT_S = 2.0
-# Higher than any revision, so that a peer answers with its number alone.
-NO_DOCUMENT = 2**62
+MAXIMUM_EDIT_TIMEOUT_S = 60.0
+MAXIMUM_CONCURRENT_EDITS = 8
+MAXIMUM_CONCURRENT_QUERIES = 16
+QUERY_TIMEOUT_S = 2.0
+# Higher than any revision, so that a peer replies with its revision only.
+ABOVE_ALL_REVISIONS = 2**62
 
 
 class EditHandler:
@@ -43,11 +43,11 @@
         state: The document in force.
         store: The platform's store.
         hub: Links to the peers and operators.
-        edit_places: Bounds the edits that run at once.
-        authentication: Knows which operator is at a link.
+        edit_slots: Limits the edits that run concurrently.
+        authentication: Authenticates the operators of links.
     """
 
-    __slots__ = ("state", "store", "hub", "edit_places", "authentication")
+    __slots__ = ("state", "store", "hub", "edit_slots", "authentication")
 
     def __init__(
         self, state: ConfigurationState, store: ConsulStore, hub: PeerHub
@@ -55,15 +55,17 @@
         self.state = state
         self.store = store
         self.hub = hub
-        self.edit_places = asyncio.Semaphore(MAXIMUM_EDITS)
+        self.edit_slots = asyncio.Semaphore(MAXIMUM_CONCURRENT_EDITS)
         self.authentication = OperatorAuthentication(state, hub)
-        hub.register_handler(EditRequest, self.edit)
-        hub.register_handler(AskRevisions, self.answer_revisions)
+        hub.register_handler(EditRequest, self.handle_edit_request)
+        hub.register_handler(AskRevisions, self.handle_revisions_request)
 
-    async def edit(self, link: PeerLink, message: EditRequest) -> Message:
-        """Try to get an operator's edit accepted."""
+    async def handle_edit_request(
+        self, link: PeerLink, message: EditRequest
+    ) -> Message:
+        """Attempt an operator's edit and reply with its outcome."""
         if not self.authentication.is_authenticated(link, message.operator):
-            reason = f"operator {message.operator!r} has not proved its identity"
+            reason = f"operator {message.operator!r} is not authenticated"
             return EditReply("refused", reasons=(reason,))
         edit = Edit(
             message.edit_id,
@@ -73,33 +75,33 @@
             message.expected,
             message.is_repeat,
         )
-        deadline_s = now_s() + min(message.limit_s, MAXIMUM_LIMIT_S)
-        async with self.edit_places:
+        deadline_s = now_s() + min(message.limit_s, MAXIMUM_EDIT_TIMEOUT_S)
+        async with self.edit_slots:
             attempt = EditAttempt(self.store, self.state, edit, deadline_s)
             outcome = await attempt.run()
         log_outcome(edit, outcome)
         return build_reply(outcome)
 
-    async def answer_revisions(
+    async def handle_revisions_request(
         self, link: PeerLink, message: AskRevisions
     ) -> RevisionsReply:
-        """Ask all live proxies which revision they run."""
-        places = asyncio.Semaphore(MAXIMUM_ASKED_AT_ONCE)
+        """Query all live proxies for the revision that they run."""
+        slots = asyncio.Semaphore(MAXIMUM_CONCURRENT_QUERIES)
         members = self.hub.membership.live_members()
         revisions = await asyncio.gather(
-            *(self.ask_revision(member, places) for member in members)
+            *(self.query_revision(member, slots) for member in members)
         )
         names = [member.name for member in members]
         return RevisionsReply(dict(zip(names, revisions, strict=True)))
 
-    async def ask_revision(self, member: Member, places: asyncio.Semaphore) -> int:
-        """Return the revision that a proxy runs, 0 if it isn't reached."""
+    async def query_revision(self, member: Member, slots: asyncio.Semaphore) -> int:
+        """Return the revision that a proxy runs, 0 if it can't be reached."""
         if member.name == self.hub.membership.local.name:
             return self.state.revision
-        async with places:
+        async with slots:
             try:
                 reply = await self.hub.request(
-                    member.name, AskDocument(NO_DOCUMENT), ASK_TIMEOUT_S
+                    member.name, AskDocument(ABOVE_ALL_REVISIONS), QUERY_TIMEOUT_S
                 )
             except PeerLostError:
                 return 0
@@ -107,7 +109,7 @@
 
 
 def log_outcome(edit: Edit, outcome: Outcome) -> None:
-    """Log what became of an edit."""
+    """Log the outcome of an edit."""
     logger.bind(
         edit_id=edit.edit_id,
         operator=edit.operator,
@@ -118,7 +120,7 @@
 
 
 def build_reply(outcome: Outcome) -> EditReply:
-    """Build the message that tells an operator the outcome of an edit."""
+    """Build the reply with the outcome of an edit."""
     if isinstance(outcome, Accepted):
         return EditReply("accepted", outcome.revision)
     if isinstance(outcome, Refused):
--- a/ebonyrack/config/edit_machine_test.py
+++ b/ebonyrack/config/edit_machine_test.py
@@ -1,4 +1,4 @@
-"""State machine: an accepted revision is in force and never reverts."""
+"""State machine test: accepted edits take effect and never revert."""
 
 import asyncio
 import sys
@@ -50,7 +50,7 @@
 
 
 class PausingStore(FakeStore):
-    """A store whose calls wait until the machine answers them."""
+    """A store whose calls block until the state machine answers them."""
 
     def __init__(self):
         super().__init__()
@@ -76,7 +76,7 @@
 
 
 class EditMachine(RuleBasedStateMachine):
-    """Operators, proxies and a store, one step at a time."""
+    """Runs operators, proxies and a store one step at a time."""
 
     @initialize()
     def start(self):
@@ -96,10 +96,10 @@
     def teardown(self):
         for task in self.running.values():
             task.cancel()
-        self.loop.run_until_complete(self.settle())
+        self.loop.run_until_complete(self.drain_event_loop())
         self.loop.close()
 
-    async def settle(self):
+    async def drain_event_loop(self):
         for _ in range(12):
             await asyncio.sleep(0)
 
@@ -107,16 +107,16 @@
         self.edits[edit.edit_id] = edit
         attempt = EditAttempt(self.store, self.proxies[proxy], edit, now_s() + LIMIT_S)
         self.running[edit.edit_id] = self.loop.create_task(attempt.run())
-        self.loop.run_until_complete(self.settle())
+        self.loop.run_until_complete(self.drain_event_loop())
         self.collect()
 
     def collect(self):
         for edit_id, task in list(self.running.items()):
             if task.done():
                 del self.running[edit_id]
-                self.take_outcome(edit_id, task)
+                self.record_outcome(edit_id, task)
 
-    def take_outcome(self, edit_id, task):
+    def record_outcome(self, edit_id, task):
         outcome = Unknown(edit_id, "killed") if task.cancelled() else task.result()
         if isinstance(outcome, Accepted):
             assert self.accepted.setdefault(edit_id, outcome.revision) == (
@@ -179,7 +179,7 @@
     def answer(self, number, fault):
         waiting = self.store.waiting[number % len(self.store.waiting)]
         waiting.set_result(fault)
-        self.loop.run_until_complete(self.settle())
+        self.loop.run_until_complete(self.drain_event_loop())
         self.collect()
 
     @precondition(lambda self: self.running)
@@ -187,22 +187,22 @@
     def kill_proxy(self, data):
         edit_id = data.draw(st.sampled_from(sorted(self.running)))
         self.running[edit_id].cancel()
-        self.loop.run_until_complete(self.settle())
+        self.loop.run_until_complete(self.drain_event_loop())
         self.collect()
 
     @rule()
     def land_late_swaps(self):
-        self.store.land()
+        self.store.apply_late_swaps()
 
-    @rule(giver=st.integers(0, PROXIES - 1), taker=st.integers(0, PROXIES - 1))
-    def pass_on(self, giver, taker):
-        self.proxies[taker].offer(self.proxies[giver].stored, "peer")
+    @rule(origin=st.integers(0, PROXIES - 1), receiver=st.integers(0, PROXIES - 1))
+    def pass_on(self, origin, receiver):
+        self.proxies[receiver].apply_if_newer(self.proxies[origin].stored, "peer")
 
     @precondition(lambda self: self.store.log)
-    @rule(taker=st.integers(0, PROXIES - 1), number=st.integers(0, 9))
-    def watch(self, taker, number):
+    @rule(receiver=st.integers(0, PROXIES - 1), number=st.integers(0, 9))
+    def watch(self, receiver, number):
         log = self.store.log
-        self.proxies[taker].offer_bytes(log[number % len(log)], "store")
+        self.proxies[receiver].apply_bytes_if_newer(log[number % len(log)], "store")
 
     @rule(proxy=st.integers(0, PROXIES - 1))
     def restart(self, proxy):
@@ -210,7 +210,7 @@
         self.highest[proxy] = 0
 
     @invariant()
-    def proxies_never_go_back(self):
+    def revisions_never_decrease(self):
         if not hasattr(self, "proxies"):
             return
         for number, state in enumerate(self.proxies):
@@ -236,7 +236,7 @@
             assert applied[revision - 1] == edit_id
 
     @invariant()
-    def proxies_run_what_was_accepted(self):
+    def proxies_run_accepted_revisions(self):
         for state in getattr(self, "proxies", []):
             if state.revision:
                 assert state.stored == self.store.documents[state.revision - 1]
@@ -257,7 +257,7 @@
     return True
 
 
-def take_lower_revision(state, stored, source):
+def accept_lower_revision(state, stored, source):
     state.stored = stored
     state.document = Document(stored.revision, stored.text)
     return True
@@ -266,14 +266,18 @@
 edit_machine = sys.modules[__name__]
 SAFEGUARDS = {
     "swap without compare": (FakeStore, "write", put_without_comparing),
-    "lower revision accepted": (ConfigurationState, "offer", take_lower_revision),
+    "lower revision accepted": (
+        ConfigurationState,
+        "apply_if_newer",
+        accept_lower_revision,
+    ),
     "edit identity ignored": (StoredDocument, "find_edit", lambda *_: None),
     "lost swap forgotten": (
         EditAttempt,
-        "give_up",
+        "build_timeout_outcome",
         lambda attempt: NotAccepted(attempt.reason),
     ),
-    "repeat taken for a first attempt": (
+    "repeat treated as a first attempt": (
         edit_machine,
         "replace",
         lambda edit, is_repeat: edit,
@@ -282,19 +286,19 @@
 
 
 @pytest.fixture(autouse=True)
-def no_waiting(monkeypatch):
+def no_backoff(monkeypatch):
     logger.disable("ebonyrack.config")
     monkeypatch.setattr(edit_attempt, "FIRST_BACKOFF_S", 0.0)
     yield
     logger.enable("ebonyrack.config")
 
 
-def test_accepted_is_in_force_and_never_reverts():
+def test_accepted_edits_take_effect_and_never_revert():
     run_state_machine_as_test(EditMachine, settings=MACHINE_SETTINGS)
 
 
 @pytest.mark.parametrize("name", SAFEGUARDS)
-def test_the_machine_notices_a_missing_safeguard(name, monkeypatch):
+def test_state_machine_detects_a_missing_safeguard(name, monkeypatch):
     monkeypatch.setattr(*SAFEGUARDS[name])
     with pytest.raises(Exception) as caught:
         run_state_machine_as_test(EditMachine, settings=MACHINE_SETTINGS)
--- a/ebonyrack/config/edit_test.py
+++ b/ebonyrack/config/edit_test.py
@@ -50,19 +50,19 @@
 
 @dataclass
 class LateSwap:
-    """A swap whose answer was lost and that may take effect later."""
+    """A swap whose answer was lost and that may still take effect."""
 
     value: bytes
     index: int
 
 
 class FakeStore:
-    """A store in memory whose calls fail as a script says.
+    """In-memory store whose calls fail according to a script.
 
     Each entry of the script is for one call: `ok`, `down` (not sent), `lost` (takes
     effect, no answer), `dropped` (no effect, no answer), `late` (takes effect when
-    `land` is called, no answer), `stale` (a read of the first value), `time` (the
-    time is over).
+    `apply_late_swaps` is called, no answer), `stale` (a read of the first value),
+    `time` (the deadline passes).
     """
 
     def __init__(self, script=()):
@@ -79,8 +79,8 @@
     def read(self, number=-1):
         if not self.log:
             return None
-        back = len(self.log) - 1 if number == -1 else number
-        return StoreValue(self.log[back], self.index - len(self.log) + 1 + back)
+        position = len(self.log) - 1 if number == -1 else number
+        return StoreValue(self.log[position], self.index - len(self.log) + 1 + position)
 
     def write(self, value, index):
         expected = self.index if self.log else 0
@@ -90,7 +90,7 @@
         self.index += 1
         return True
 
-    def land(self):
+    def apply_late_swaps(self):
         while self.late:
             swap = self.late.pop()
             self.write(swap.value, swap.index)
@@ -130,18 +130,18 @@
 
 
 @pytest.fixture(autouse=True)
-def no_waiting(monkeypatch):
+def no_backoff(monkeypatch):
     monkeypatch.setattr(edit_attempt, "FIRST_BACKOFF_S", 0.0)
 
 
-def start(script=()):
+def create_store(script=()):
     store = FakeStore()
     store.index = 10
     stored = StoredDocument(1, TEXT, ())
     store.log.append(pack_stored(stored))
     store.script.extend(script)
     state = ConfigurationState()
-    assert state.offer(stored, "test")
+    assert state.apply_if_newer(stored, "test")
     return store, state
 
 
@@ -162,8 +162,8 @@
     assert state.stored.text == TEXT
 
 
-async def test_races_on_other_sections_are_merged():
-    store, state = start()
+async def test_concurrent_edits_of_different_sections_are_merged():
+    store, state = create_store()
     first = change(state, "user = booking", "user = bookings", "ben", "e-1")
     second = change(state, "user = calendar", "user = calendars", "ada", "e-2")
     assert await apply(store, state, first) == Accepted(2)
@@ -172,8 +172,8 @@
     assert "user = calendars\n" in state.stored.text
 
 
-async def test_a_race_on_the_same_section_is_refused_with_the_difference():
-    store, state = start()
+async def test_concurrent_edit_of_the_same_section_is_refused_with_a_diff():
+    store, state = create_store()
     first = change(state, "user = booking", "user = one", "ben", "e-1")
     second = change(state, "user = booking", "user = two", "ada", "e-2")
     assert await apply(store, state, first) == Accepted(2)
@@ -194,21 +194,21 @@
         ("[application calendar]", "[application other]"),
     ],
 )
-async def test_an_operator_changes_only_owned_sections(old, new):
-    store, state = start()
+async def test_operator_may_change_only_owned_sections(old, new):
+    store, state = create_store()
     outcome = await apply(store, state, change(state, old, new, "ben"))
     assert isinstance(outcome, Refused)
     assert len(store.log) == 1
 
 
-async def test_an_unknown_operator_changes_nothing():
-    store, state = start()
+async def test_edit_of_an_unknown_operator_is_refused():
+    store, state = create_store()
     edit = change(state, "user = booking", "user = x", "eve")
     assert isinstance(await apply(store, state, edit), Refused)
 
 
-async def test_all_faults_of_the_merged_document_refuse_an_edit():
-    store, state = start()
+async def test_refusal_lists_all_errors_of_the_merged_document():
+    store, state = create_store()
     outcome = await apply(store, state, change(state, "groups = a", "groups = b"))
     assert isinstance(outcome, Refused)
     assert len(outcome.reasons) == 2
@@ -234,8 +234,8 @@
         (["ok", "late", "ok", "down", "time"], Unknown),
     ],
 )
-async def test_each_fault_at_each_step_is_answered_truthfully(script, expected):
-    store, state = start(script)
+async def test_outcome_is_correct_for_each_fault_at_each_step(script, expected):
+    store, state = create_store(script)
     edit = change(state, "user = booking", "user = new")
     outcome = await apply(store, state, edit)
     assert isinstance(outcome, expected)
@@ -245,8 +245,8 @@
         assert state.revision == outcome.revision
     if isinstance(outcome, NotAccepted):
         assert not is_held
-    store.land()
-    # The operator asks again with the same identity.
+    store.apply_late_swaps()
+    # The operator repeats the edit with the same identity.
     repeated = await apply(store, state, replace(edit, is_repeat=True))
     assert isinstance(repeated, Accepted)
     ids = [record.edit_id for record in store.documents[-1].history]
@@ -254,17 +254,17 @@
 
 
 async def test_a_repeat_without_an_answer_stays_unknown():
-    store, state = start(["ok", "lost", "time", "down", "time"])
+    store, state = create_store(["ok", "lost", "time", "down", "time"])
     edit = change(state, "user = booking", "user = new")
     assert isinstance(await apply(store, state, edit), Unknown)
     repeated = await apply(store, state, replace(edit, is_repeat=True))
     assert isinstance(repeated, Unknown)
 
 
-async def test_a_rival_between_read_and_swap_is_merged():
-    store, state = start()
+async def test_edit_accepted_between_read_and_swap_is_merged():
+    store, state = create_store()
     rival_state = ConfigurationState()
-    rival_state.offer(state.stored, "test")
+    rival_state.apply_if_newer(state.stored, "test")
     rival = change(state, "user = calendar", "user = rival", edit_id="rival")
 
     async def interfere():
@@ -276,33 +276,33 @@
     assert "user = rival\n" in state.stored.text
 
 
-async def test_a_lost_swap_that_a_rival_overtook_is_settled():
-    store, state = start(["ok", "late"])
+async def test_lost_swap_is_resolved_when_another_edit_is_accepted():
+    store, state = create_store(["ok", "late"])
     rival_state = ConfigurationState()
-    rival_state.offer(state.stored, "test")
+    rival_state.apply_if_newer(state.stored, "test")
     rival = change(state, "user = booking", "user = rival", edit_id="rival")
     edit = change(state, "user = booking", "user = own")
     attempt = EditAttempt(store, state, edit, now_s() + 5)
-    assert await attempt.try_once() is None
+    assert await attempt.attempt_once() is None
     assert attempt.pending_index == 10
     assert await apply(store, rival_state, rival) == Accepted(2)
     assert isinstance(await attempt.run(), Refused)
-    store.land()
+    store.apply_late_swaps()
     assert store.documents[-1].find_edit("edit-1") is None
 
 
-async def test_a_store_behind_the_known_revision_accepts_nothing():
-    store, state = start()
+async def test_edit_is_not_accepted_while_the_store_is_stale():
+    store, state = create_store()
     newer = StoredDocument(5, TEXT, ())
-    state.offer(newer, "peer")
+    state.apply_if_newer(newer, "peer")
     edit = change(state, "user = booking", "user = own")
     outcome = await EditAttempt(store, state, edit, now_s() + 0.2).run()
     assert isinstance(outcome, NotAccepted)
     assert len(store.log) == 1
 
 
-async def test_a_repeat_older_than_the_history_is_not_judged():
-    store, state = start()
+async def test_outcome_of_a_repeat_older_than_the_history_is_unknown():
+    store, state = create_store()
     edit = change(state, "user = booking", "user = own")
     record = EditRecord(9, "other", "ada", 0, ())
     newest = StoredDocument(9, TEXT, (record,))
@@ -310,7 +310,7 @@
     assert isinstance(await apply(store, state, edit), Unknown)
 
 
-def test_changes_lead_from_one_text_to_the_other():
+def test_applying_the_found_changes_yields_the_wanted_text():
     wanted = TEXT.replace("user = booking", "user = x").replace("# The", "# A")
     changes = find_changes(TEXT, wanted)
     assert set(changes) == {"", "application booking"}
--- a/ebonyrack/config/fault_matrix_test.py
+++ b/ebonyrack/config/fault_matrix_test.py
@@ -1,4 +1,4 @@
-"""Every fault at every step of an edit, of a join and of a leave."""
+"""Injects each fault at each step of an edit, and into a join and a leave."""
 
 import asyncio
 import contextlib
@@ -28,7 +28,7 @@
 
 
 class Bench:
-    """Three proxies, an operator at the first, and one fault at one step."""
+    """Three proxies, an operator connected to the first, one fault at one step."""
 
     def __init__(self, fleet):
         self.fleet = fleet
@@ -44,7 +44,7 @@
     def build_recorder(self, name):
         return lambda document: self.revisions[name].append(document.revision)
 
-    def later(self, coroutine):
+    def start_task(self, coroutine):
         task = asyncio.create_task(coroutine)
         self.tasks.add(task)
         return task
@@ -75,7 +75,7 @@
         raise AssertionError("the edit was never accepted")
 
     def arm(self, step, fault, monkeypatch):
-        """Let the fault strike when the first proxy reaches the step first."""
+        """Inject the fault when the first proxy reaches the step for the first time."""
         self.action = getattr(self, f"inject_{fault}")
         first = self.first
         if step in ("read", "swap", "answer"):
@@ -84,10 +84,10 @@
 
             async def call_with_fault(*arguments):
                 if step != "answer":
-                    await self.strike()
+                    await self.trigger_fault()
                 result = await call(*arguments)
                 if step == "answer":
-                    await self.strike()
+                    await self.trigger_fault()
                 return result
 
             monkeypatch.setattr(first.store, name, call_with_fault, raising=True)
@@ -95,35 +95,35 @@
         owner, name = {
             "check": (edit_attempt, "check_edit"),
             "spread": (first.hub, "send_to_links"),
-            "swap_in": (self.third.state.__class__, "offer"),
+            "swap_in": (self.third.state.__class__, "apply_if_newer"),
         }[step]
         function = getattr(owner, name)
 
         def function_with_fault(*arguments):
             is_other = step == "swap_in" and arguments[0] is not self.third.state
             if not is_other and self.action is not None:
-                self.later(self.strike())
+                self.start_task(self.trigger_fault())
             return function(*arguments)
 
         monkeypatch.setattr(owner, name, function_with_fault)
 
-    async def strike(self):
+    async def trigger_fault(self):
         action, self.action = self.action, None
         if action is not None:
             await action()
 
-    async def clear_later(self):
+    async def clear_store_fault(self):
         await asyncio.sleep(FAULT_S)
         self.fleet.platform.is_down = False
         self.fleet.platform.delay_s = 0.0
 
     async def inject_down(self):
         self.fleet.platform.is_down = True
-        self.later(self.clear_later())
+        self.start_task(self.clear_store_fault())
 
     async def inject_slow(self):
         self.fleet.platform.delay_s = 2 * self.first.settings.store.timeout_s
-        self.later(self.clear_later())
+        self.start_task(self.clear_store_fault())
 
     async def inject_lost(self):
         self.fleet.platform.lose_answers = 1
@@ -132,21 +132,21 @@
         self.fleet.platform.stale_reads = 2
 
     async def inject_killed(self):
-        self.later(self.fleet.remove(self.first))
+        self.start_task(self.fleet.remove(self.first))
         await asyncio.sleep(0)
 
     async def inject_frozen(self):
-        """Nothing goes in or out of the first proxy for a while."""
-        thawed = asyncio.Event()
+        """Block all messages and store calls of the first proxy for FREEZE_S."""
+        resumed = asyncio.Event()
         hub, store = self.first.hub, self.first.store
         dispatch, call = hub.dispatch, store.call
 
         async def dispatch_frozen(*arguments):
-            await thawed.wait()
+            await resumed.wait()
             return await dispatch(*arguments)
 
         async def call_frozen(*arguments, **options):
-            await thawed.wait()
+            await resumed.wait()
             return await call(*arguments, **options)
 
         for link in hub.links.values():
@@ -155,33 +155,33 @@
         send = hub.heartbeat.send_heartbeat
         hub.heartbeat.send_heartbeat = lambda name: None
 
-        async def thaw():
+        async def resume():
             await asyncio.sleep(FREEZE_S)
             hub.heartbeat.send_heartbeat = send
             hub.dispatch, store.call = dispatch, call
             for link in hub.links.values():
                 link.handler = dispatch
-            thawed.set()
+            resumed.set()
 
-        self.later(thaw())
+        self.start_task(resume())
 
     async def inject_cut(self):
-        """No link between the first proxy and the others for a while."""
+        """Prevent links between the first proxy and the others for FAULT_S."""
         hub = self.first.hub
-        adopt, dial_peer = hub.adopt, hub.dial_peer
+        register_link, dial_peer = hub.register_link, hub.dial_peer
 
-        async def refuse(address):
+        async def fail_to_dial(address):
             raise PeerLostError("cut")
 
-        hub.adopt, hub.dial_peer = (lambda link: False), refuse
+        hub.register_link, hub.dial_peer = (lambda link: False), fail_to_dial
         for link in tuple(hub.links.values()):
             link.close()
 
-        async def heal():
+        async def restore_links():
             await asyncio.sleep(FAULT_S)
-            hub.adopt, hub.dial_peer = adopt, dial_peer
+            hub.register_link, hub.dial_peer = register_link, dial_peer
 
-        self.later(heal())
+        self.start_task(restore_links())
 
     async def inject_rival(self):
         outcome = await self.edit_directly(
@@ -212,7 +212,7 @@
     bench.arm(step, fault, monkeypatch)
     revision = await bench.edit_until_accepted(edit)
     await bench.fleet.wait_revision(revision)
-    # The fault strikes in a task of its own, which may run after the last step.
+    # The fault is injected in a separate task, which may run after the last step.
     await wait_until(lambda: bench.action is None)
     await bench.finish()
     await wait_until(
--- a/ebonyrack/config/leaving_vms.py
+++ b/ebonyrack/config/leaving_vms.py
@@ -1,4 +1,4 @@
-"""Which VMs are leaving, as the platform's list or a peer tells."""
+"""The set of leaving VMs, from the platform's list or from a peer."""
 
 from __future__ import annotations
 
@@ -17,32 +17,32 @@
 
 
 class LeavingVms:
-    """Knows the leaving VMs and tells the peers and the subscribers of changes.
+    """Tracks the leaving VMs and notifies peers and subscribers of changes.
 
     Attributes:
         hub: Links to the peers.
         vm_list: The platform's VM list.
-        reported: Leaving VMs that the subscribers were last told of.
-        callbacks: Called when the set of leaving VMs changed.
+        last_notified: Leaving VMs of which the subscribers were last notified.
+        callbacks: Called after each change of the set of leaving VMs.
     """
 
-    __slots__ = ("hub", "vm_list", "reported", "callbacks")
+    __slots__ = ("hub", "vm_list", "last_notified", "callbacks")
 
     def __init__(self, store: ConsulStore, hub: PeerHub) -> None:
         self.hub = hub
         self.vm_list = VmList(store)
-        self.reported: frozenset[str] = frozenset()
+        self.last_notified: frozenset[str] = frozenset()
         self.callbacks: list[Callable[[], None]] = []
         hub.register_handler(VmNews, self.receive_news)
-        hub.link_callbacks.append(self.tell_peer)
+        hub.link_callbacks.append(self.send_to_peer)
 
     @property
     def names(self) -> frozenset[str]:
-        """Names of the leaving VMs, as last heard."""
+        """Names of the leaving VMs, as last reported."""
         return self.vm_list.leaving
 
     def subscribe(self, callback: Callable[[], None]) -> None:
-        """Call a function when the set of leaving VMs changed."""
+        """Register a function to call after each change of the set of leaving VMs."""
         self.callbacks.append(callback)
 
     async def watch(self, wait_s: float) -> Result[bool, StoreError]:
@@ -52,41 +52,41 @@
             wait_s: Seconds after which the store answers in any case.
 
         Returns:
-            Whether there is a list to wait for, or why that isn't known.
+            Whether there is a list to watch, or the store's error.
         """
         before = self.names
         answer = await self.vm_list.watch(wait_s)
-        return answer.map(lambda listing: self.take_listing(listing, before))
+        return answer.map(lambda listing: self.apply_listing(listing, before))
 
-    def take_listing(self, listing: VmListing, before: frozenset[str]) -> bool:
-        """Tell everybody when the set of leaving VMs changed."""
+    def apply_listing(self, listing: VmListing, before: frozenset[str]) -> bool:
+        """Notify peers and subscribers if the set of leaving VMs changed."""
         if listing.leaving != before:
             self.hub.broadcast(self.build_news())
-            self.report()
+            self.notify_subscribers()
         return listing.index > 0
 
     def build_news(self) -> VmNews:
-        """Build the message that tells peers of the leaving VMs."""
+        """Build the message to peers with the leaving VMs."""
         return VmNews(self.vm_list.listing.index, tuple(sorted(self.names)))
 
     async def receive_news(self, link: PeerLink, news: VmNews) -> None:
-        """Take over what a watcher heard of the VM list."""
+        """Apply a newer VM list from a peer that watches it."""
         before = self.names
         listing = VmListing(news.index, frozenset(news.leaving))
         if self.vm_list.update_if_newer(listing) and listing.leaving != before:
-            self.report()
+            self.notify_subscribers()
 
-    def tell_peer(self, link: PeerLink) -> None:
-        """Tell a new peer of the leaving VMs."""
+    def send_to_peer(self, link: PeerLink) -> None:
+        """Send the leaving VMs to a newly linked peer."""
         if self.names:
             link.send(self.build_news())
 
-    def report(self) -> None:
-        """Log the leaving VMs and tell the subscribers, once for each change."""
-        # A watch and a peer may bring the same change.
-        if self.names == self.reported:
+    def notify_subscribers(self) -> None:
+        """Log the leaving VMs and notify the subscribers, once for each change."""
+        # A watch and a peer may report the same change.
+        if self.names == self.last_notified:
             return
-        self.reported = self.names
+        self.last_notified = self.names
         logger.bind(leaving=sorted(self.names)).info("leaving_vms_changed")
         for callback in tuple(self.callbacks):
             callback()
--- a/ebonyrack/config/ownership.py
+++ b/ebonyrack/config/ownership.py
@@ -1,4 +1,4 @@
-"""Which operator may change which section."""
+"""Permission checks: which operator may change which section."""
 
 from __future__ import annotations
 
@@ -14,36 +14,37 @@
 
 
 def find_denied_sections(
-    edit: Edit, present: Document, wanted: Document
+    edit: Edit, current: Document, wanted: Document
 ) -> tuple[str, ...]:
     """Find the sections of an edit that its operator may not change.
 
-    The section's owner counts both before and after the change, so that nobody
-    takes a section over or gives one away that is not theirs. Operators' own
-    sections and the lines before the first section are the administrators'.
+    The operator must act for the section's owner both before and after the change,
+    so that nobody takes over a section or gives away one that is not theirs.
+    Operator sections and the lines before the first section belong to the
+    administrators.
 
     Args:
-        edit: What is to be changed.
-        present: The document before.
-        wanted: The document after.
+        edit: The requested change.
+        current: The document before the change.
+        wanted: The document after the change.
 
     Returns:
-        One reason for each section; none if the edit is allowed.
+        One reason for each denied section; none if the edit is allowed.
     """
-    if not present.operators:
-        # The first document names the first operators.
+    if not current.operators:
+        # The first document defines the first operators, so anyone may write it.
         return ()
-    operator = present.operators.get(edit.operator)
+    operator = current.operators.get(edit.operator)
     if operator is None:
         return (f"operator {edit.operator!r} is not in the document",)
     if ADMINISTRATORS in operator.acts_for:
         return ()
     denied = []
     for title in edit.changes:
-        owners = find_owners(title, present) | find_owners(title, wanted)
-        foreign = sorted(owners - set(operator.acts_for))
-        if foreign:
-            denied.append(f"[{title}] is owned by {', '.join(foreign)}")
+        owners = find_owners(title, current) | find_owners(title, wanted)
+        other_owners = sorted(owners - set(operator.acts_for))
+        if other_owners:
+            denied.append(f"[{title}] is owned by {', '.join(other_owners)}")
     return tuple(denied)
 
 
--- a/ebonyrack/config/spread.py
+++ b/ebonyrack/config/propagation.py
@@ -1,4 +1,4 @@
-"""Passing revisions of the document on between proxies."""
+"""Propagation of the document's revisions between proxies."""
 
 from __future__ import annotations
 
@@ -10,9 +10,9 @@
 from ebonyrack.config.state import ConfigurationState
 from ebonyrack.config.stored import EditRecord
 from ebonyrack.config.stored import StoredDocument
-from ebonyrack.config.stored import list_record
+from ebonyrack.config.stored import decode_record
+from ebonyrack.config.stored import encode_record
 from ebonyrack.config.stored import pack_stored
-from ebonyrack.config.stored import read_record
 from ebonyrack.config.stored import trim_history
 from ebonyrack.config.text import apply_changes
 from ebonyrack.config.text import compute_digest
@@ -30,28 +30,28 @@
 FETCH_TIMEOUT_S = 2.0
 
 
-class DocumentSpread:
-    """Tells peers of new revisions and fetches those that peers have.
+class DocumentPropagation:
+    """Announces new revisions to peers and fetches those that peers announce.
 
     Attributes:
         state: The document in force.
         hub: Links to the peers.
-        fetching: Held while a peer is being asked.
+        fetch_lock: Held while the document is fetched from a peer.
     """
 
-    __slots__ = ("state", "hub", "fetching")
+    __slots__ = ("state", "hub", "fetch_lock")
 
     def __init__(self, state: ConfigurationState, hub: PeerHub) -> None:
         self.state = state
         self.hub = hub
-        self.fetching = asyncio.Lock()
-        state.subscribe(self.tell_peers)
+        self.fetch_lock = asyncio.Lock()
+        state.subscribe(self.announce_revision)
         hub.register_handler(DocumentNews, self.receive_news)
         hub.register_handler(Heartbeat, self.receive_heartbeat)
-        hub.register_handler(AskDocument, self.receive_ask)
+        hub.register_handler(AskDocument, self.receive_document_request)
 
-    def tell_peers(self, document: Document) -> None:
-        """Tell the linked peers of a revision that came into force here.
+    def announce_revision(self, document: Document) -> None:
+        """Announce a revision that came into force here to the linked peers.
 
         Each of them does the same when it runs the revision, so it reaches all.
         """
@@ -59,96 +59,100 @@
         self.hub.send_to_links(DocumentNews(document.revision), None)
 
     async def receive_news(self, link: PeerLink, news: DocumentNews) -> None:
-        """Fetch a revision that a peer tells of."""
+        """Fetch a revision that a peer announces."""
         await self.fetch(link, news.revision)
 
     async def receive_heartbeat(self, link: PeerLink, heartbeat: Heartbeat) -> None:
-        """Fetch a revision that a peer's heartbeat names."""
-        # Heartbeats repeat, so none needs to wait for a fetch that is running.
-        if not self.fetching.locked():
+        """Fetch the revision in a peer's heartbeat."""
+        # Heartbeats repeat, so none needs to wait for a running fetch.
+        if not self.fetch_lock.locked():
             await self.fetch(link, heartbeat.revision)
 
-    def is_wanted(self, revision: int) -> bool:
-        """Tell whether a revision is higher than the present one and readable."""
+    def should_fetch(self, revision: int) -> bool:
+        """Return whether a revision is newer than the current and rejected ones."""
         return revision > max(self.state.revision, self.state.rejected_revision)
 
     async def fetch(self, link: PeerLink, revision: int) -> None:
-        """Ask a peer for the document if its revision is higher.
+        """Fetch the document from a peer if its revision is newer.
 
-        One fetch runs at a time; when it ends, most that waited need none.
+        Only one fetch runs at a time; when it ends, most waiting ones are obsolete.
 
         Args:
-            link: Link to a peer that has or passed on the news.
-            revision: Revision that the peer named.
+            link: Link to the peer that announced the revision.
+            revision: Revision that the peer announced.
         """
-        if not self.is_wanted(revision):
+        if not self.should_fetch(revision):
             return
-        async with self.fetching:
-            if self.is_wanted(revision):
+        async with self.fetch_lock:
+            if self.should_fetch(revision):
                 await self.fetch_now(link)
 
     async def fetch_now(self, link: PeerLink) -> None:
-        """Ask a peer for what it has above the present revision."""
+        """Request what a peer has above the current revision."""
         try:
             reply = await link.request(
                 AskDocument(self.state.revision), FETCH_TIMEOUT_S
             )
-            await self.take_reply(link, reply)
+            await self.apply_reply(link, reply)
         except PeerLostError as error:
             logger.bind(peer=link.member.name, reason=error.reason).warning(
                 "document_not_fetched"
             )
 
-    async def take_reply(self, link: PeerLink, reply: Message) -> None:
-        """Take over the document or the changes that a peer answered.
+    async def apply_reply(self, link: PeerLink, reply: Message) -> None:
+        """Apply the document or the changes in a peer's reply.
 
         Raises:
             PeerLostError: If the whole document is needed and the peer is lost.
         """
-        if isinstance(reply, ChangesReply) and not self.take_changes(link, reply):
-            # The changes didn't fit, so the whole document is needed.
+        if isinstance(reply, ChangesReply) and not self.apply_changes_reply(
+            link, reply
+        ):
+            # The changes don't apply here, so the whole document is needed.
             reply = await link.request(AskDocument(0), FETCH_TIMEOUT_S)
         if isinstance(reply, DocumentReply) and reply.stored:
-            self.state.offer_bytes(reply.stored, link.member.name)
+            self.state.apply_bytes_if_newer(reply.stored, link.member.name)
 
-    def take_changes(self, link: PeerLink, reply: ChangesReply) -> bool:
-        """Apply changes to the present document.
+    def apply_changes_reply(self, link: PeerLink, reply: ChangesReply) -> bool:
+        """Apply a peer's changes to the current document.
 
         Args:
-            link: Where they came from.
+            link: Link on which they arrived.
             reply: The changes.
 
         Returns:
-            Whether they led to the text that the peer has.
+            False if the changes don't apply and the whole document is needed.
         """
-        present = self.state.stored
-        if present.revision != reply.base_revision:
-            return present.revision >= reply.revision
-        text = apply_changes(present.text, reply.changes)
+        current = self.state.stored
+        if current.revision != reply.base_revision:
+            return current.revision >= reply.revision
+        text = apply_changes(current.text, reply.changes)
         if compute_digest(text) != reply.digest:
             return False
         try:
-            edits = tuple(map(read_record, reply.history))
+            edits = tuple(map(decode_record, reply.history))
         except (TypeError, ValueError):
             return False
-        history = trim_history((*present.history, *edits))
+        history = trim_history((*current.history, *edits))
         stored = StoredDocument(reply.revision, text, history)
-        self.state.offer(stored, link.member.name)
+        self.state.apply_if_newer(stored, link.member.name)
         return True
 
-    async def receive_ask(self, link: PeerLink, message: AskDocument) -> Message:
-        """Answer with the changes since a revision, or with the whole document."""
+    async def receive_document_request(
+        self, link: PeerLink, message: AskDocument
+    ) -> Message:
+        """Reply with the changes since a revision or with the whole document."""
         stored = self.state.stored
         if message.above_revision >= stored.revision:
             return DocumentReply(stored.revision, b"")
-        if message.above_revision == 0 or not stored.reaches_back_to(
+        if message.above_revision == 0 or not stored.covers_edits_after(
             message.above_revision
         ):
             return DocumentReply(stored.revision, pack_stored(stored))
-        return build_changes(stored, message.above_revision)
+        return build_changes_reply(stored, message.above_revision)
 
 
-def build_changes(stored: StoredDocument, base_revision: int) -> ChangesReply:
+def build_changes_reply(stored: StoredDocument, base_revision: int) -> ChangesReply:
     """Build the changes from an earlier revision to a stored one.
 
     Args:
@@ -167,6 +171,6 @@
         base_revision=base_revision,
         revision=stored.revision,
         changes={title: sections.get(title) for title in titles},
-        history=[list_record(edit) for edit in edits],
+        history=[encode_record(edit) for edit in edits],
         digest=compute_digest(stored.text),
     )
--- a/ebonyrack/config/references.py
+++ b/ebonyrack/config/references.py
@@ -1,4 +1,4 @@
-"""Checks of the document that look at several keys or sections."""
+"""Checks of the document that span several keys or sections."""
 
 from __future__ import annotations
 
@@ -14,46 +14,46 @@
 
 
 def check_references(records: Records, source: str) -> tuple[ConfigError, ...]:
-    """Check what sections say of each other.
+    """Check the constraints between keys and between sections.
 
     Args:
-        records: Kind to name to record; None stands for a section with faults.
-        source: Name of the document, for faults.
+        records: Kind to name to record; None stands for a section with errors.
+        source: Name of the document, for error messages.
 
     Returns:
-        Every fault found.
+        Every error found.
     """
-    found: list[ConfigError] = []
+    errors: list[ConfigError] = []
     for name, group in records["group"].items():
         if group is not None:
             texts = check_group(group)
-            found.extend(
+            errors.extend(
                 ConfigError(source, f"group {name}", key, text) for key, text in texts
             )
     for name, application in records["application"].items():
         if application is not None:
             texts = check_application(application, records)
-            found.extend(
+            errors.extend(
                 ConfigError(source, f"application {name}", key, text)
                 for key, text in texts
             )
-    found.extend(check_data_centres(records, source))
-    found.extend(check_unique_users(records, source))
-    found.extend(check_unique_addresses(records, source))
-    return tuple(found)
+    errors.extend(check_data_centres(records, source))
+    errors.extend(check_unique_users(records, source))
+    errors.extend(check_unique_addresses(records, source))
+    return tuple(errors)
 
 
 def check_group(group: GroupSection) -> Iterator[tuple[str, str]]:
-    """Check one group; yield key and text of each fault."""
+    """Check one group; yield key and text of each error."""
     names = [upstream.name for upstream in group.upstreams]
     if not names:
         yield "upstreams", "a group needs at least one upstream"
     for name, count in Counter(names).items():
         if count > 1:
-            yield "upstreams", f"upstream {name!r} is named {count} times"
+            yield "upstreams", f"upstream {name!r} is listed {count} times"
     for name in group.leaving:
         if name not in names:
-            yield "leaving", f"{name!r} is no upstream; allowed: {', '.join(names)}"
+            yield "leaving", f"{name!r} is not an upstream; allowed: {', '.join(names)}"
     if group.connection_limit <= group.connection_reserve:
         yield (
             "connection_reserve",
@@ -75,7 +75,7 @@
 def check_application(
     application: ApplicationSection, records: Records
 ) -> Iterator[tuple[str, str]]:
-    """Check one application; yield key and text of each fault."""
+    """Check one application; yield key and text of each error."""
     known = ", ".join(records["group"])
     if not application.groups:
         yield "groups", f"an application needs at least one group; known: {known}"
@@ -85,7 +85,7 @@
 
 
 def check_data_centres(records: Records, source: str) -> Iterator[ConfigError]:
-    """Check that upstreams are in data centres of the networks, if there are any."""
+    """Check that upstreams are in data centres of the networks, if any are defined."""
     known = {
         data_centre
         for network in records["network"].values()
@@ -112,17 +112,17 @@
             continue
         first = owners.setdefault(application.user, name)
         if first != name:
-            text = f"{application.user!r} is the user of [application {first}] already"
+            text = f"{application.user!r} is already the user of [application {first}]"
             yield ConfigError(source, f"application {name}", "user", text)
 
 
 def check_unique_addresses(records: Records, source: str) -> Iterator[ConfigError]:
     """Check that no two upstreams listen at the same address."""
-    places: dict[Any, str] = {}
+    descriptions: dict[Any, str] = {}
     for name, group in records["group"].items():
         for upstream in () if group is None else group.upstreams:
-            place = f"upstream {upstream.name} of [group {name}]"
-            first = places.setdefault(upstream.address, place)
-            if first != place:
-                text = f"{upstream.address} of {place} is {first} already"
+            description = f"upstream {upstream.name} of [group {name}]"
+            first = descriptions.setdefault(upstream.address, description)
+            if first != description:
+                text = f"{upstream.address} of {description} is already used by {first}"
                 yield ConfigError(source, f"group {name}", "upstreams", text)
--- a/ebonyrack/config/sections.py
+++ b/ebonyrack/config/sections.py
@@ -16,11 +16,11 @@
 
 
 class UpstreamSpec(Section):
-    """One upstream of a group as the document names it.
+    """One upstream of a group in the document.
 
     Attributes:
         name: Name of the upstream's VM.
-        address: Where it listens.
+        address: Address at which it listens.
         data_centre: Data centre of the VM.
     """
 
@@ -30,7 +30,7 @@
 
 
 def parse_upstream(word: str) -> UpstreamSpec:
-    """Read an upstream from `name=IP:port@data-centre`.
+    """Parse an upstream from `name=IP:port@data-centre`.
 
     Args:
         word: One word of the `upstreams` key.
@@ -41,8 +41,8 @@
     Raises:
         ValueError: If the word has another form.
     """
-    name, equals, place = word.partition("=")
-    address, at, data_centre = place.rpartition("@")
+    name, equals, location = word.partition("=")
+    address, at, data_centre = location.rpartition("@")
     if not (name and equals and at and data_centre):
         raise ValueError(f"expected name=IP:port@data-centre, found {word!r}")
     return UpstreamSpec(
@@ -51,10 +51,10 @@
 
 
 def parse_upstreams(value: object) -> tuple[UpstreamSpec, ...]:
-    """Read the `upstreams` key, for use as a pydantic validator.
+    """Parse the `upstreams` key, for use as a pydantic validator.
 
     Args:
-        value: Text, or upstreams already read.
+        value: Text, or upstreams already parsed.
 
     Returns:
         The upstreams.
@@ -66,12 +66,12 @@
 
 
 class GroupSection(Section):
-    """Section `[group NAME]`: a database group and how requests to it are treated.
+    """Section `[group NAME]`: a database group and how requests to it are handled.
 
-    Times are in seconds. `connection_limit` is what one upstream accepts in all;
-    `connection_reserve` of them are left to the group's own administrators. A primary
-    is slow if each poll takes longer than `slow_answer_s` for `slow_after_s`; with 0
-    none is.
+    Times are in seconds. One upstream accepts `connection_limit` connections in all;
+    `connection_reserve` of them are reserved for the group's own administrators. A
+    primary counts as slow if each poll takes longer than `slow_answer_s` for
+    `slow_after_s`; a `slow_answer_s` of 0 disables this.
     """
 
     owner: str
--- a/ebonyrack/config/state.py
+++ b/ebonyrack/config/state.py
@@ -1,4 +1,4 @@
-"""The revision of the document that a process runs."""
+"""The document in force in a process."""
 
 from __future__ import annotations
 
@@ -18,15 +18,15 @@
 
 
 class ConfigurationState:
-    """The document in force: one attribute, replaced as a whole.
+    """Holds the document in force, which is only replaced as a whole.
 
-    A request takes `document` once and uses that record to its end, so that it
-    sees one revision only.
+    A request reads `document` once and uses that record to its end, so that it
+    sees a single revision.
 
     Attributes:
         document: The document in force.
         stored: Its stored form, for peers and edits.
-        rejected_revision: Highest revision that this process could not read.
+        rejected_revision: Highest revision that this process could not parse.
         callbacks: Called with each new document.
     """
 
@@ -44,11 +44,11 @@
         return self.document.revision
 
     def subscribe(self, callback: Callback) -> None:
-        """Call a function with each new document."""
+        """Register a function to call with each new document."""
         self.callbacks.append(callback)
 
-    def offer_bytes(self, data: bytes, source: str) -> bool:
-        """Offer a stored document as bytes.
+    def apply_bytes_if_newer(self, data: bytes, source: str) -> bool:
+        """Decode a stored document and put it in force if it is newer.
 
         Args:
             data: The stored form.
@@ -62,10 +62,10 @@
         except BadStoredDocumentError as error:
             logger.bind(source=source, reason=str(error)).error("document_unreadable")
             return False
-        return self.offer(stored, source)
+        return self.apply_if_newer(stored, source)
 
-    def offer(self, stored: StoredDocument, source: str) -> bool:
-        """Put a document in force if its revision is higher than the present one.
+    def apply_if_newer(self, stored: StoredDocument, source: str) -> bool:
+        """Put a document in force if its revision is higher than the current one.
 
         Args:
             stored: The document.
@@ -75,14 +75,14 @@
             Whether it is in force now.
         """
         if stored.revision <= self.revision:
-            self.note_not_newer(stored, source)
+            self.log_not_newer(stored, source)
             return False
-        document, faults = parse_document(
+        document, errors = parse_document(
             stored.text, stored.revision, previous=self.document
         )
         if document is None:
             self.rejected_revision = max(self.rejected_revision, stored.revision)
-            reasons = [str(fault) for fault in faults]
+            reasons = [str(error) for error in errors]
             logger.bind(source=source, revision=stored.revision, reasons=reasons).error(
                 "document_rejected"
             )
@@ -94,13 +94,13 @@
             callback(document)
         return True
 
-    def note_not_newer(self, stored: StoredDocument, source: str) -> None:
-        """Log an offer that would go back, or that contradicts the present one."""
+    def log_not_newer(self, stored: StoredDocument, source: str) -> None:
+        """Log a document that is older than the current one or conflicts with it."""
         if stored.revision < self.revision:
             logger.bind(
                 source=source, revision=stored.revision, present=self.revision
             ).debug("document_not_newer")
         elif stored.text != self.stored.text:
             logger.bind(source=source, revision=stored.revision).error(
-                "document_contradicts"
+                "document_conflict"
             )
--- a/ebonyrack/config/text.py
+++ b/ebonyrack/config/text.py
@@ -1,4 +1,4 @@
-"""The document as text: its sections, changes of them, differences."""
+"""Operations on the document's text: sections, changes and differences."""
 
 from __future__ import annotations
 
@@ -18,8 +18,8 @@
         text: The INI text.
 
     Returns:
-        Title to text from its header on, in order. What comes before the first
-        header is under an empty title.
+        Title to text of each section, header included, in order. Text before the
+        first header has an empty title.
     """
     headers = list(HEADER.finditer(text))
     starts = [header.start() for header in headers] + [len(text)]
@@ -33,7 +33,7 @@
 
 
 def join_sections(sections: dict[str, str]) -> str:
-    """Put the text of sections together again."""
+    """Join the texts of sections into a document."""
     return "".join(
         text if text.endswith("\n") or not text else f"{text}\n"
         for text in sections.values()
@@ -41,11 +41,11 @@
 
 
 def find_changes(base: str, wanted: str) -> dict[str, str | None]:
-    """Find what an operator changed.
+    """Find the sections that an operator changed.
 
     Args:
-        base: The document that the operator started from.
-        wanted: The document as the operator wants it.
+        base: Document that the edit is based on.
+        wanted: Document that the operator wants.
 
     Returns:
         Title of each changed section to its new text, None if it was removed.
@@ -60,12 +60,12 @@
 
 
 def normalise(text: str) -> str:
-    """Return a document that ends with a line end, or is empty."""
+    """Return a document with a final newline, unless it is empty."""
     return text if not text or text.endswith("\n") else f"{text}\n"
 
 
 def apply_changes(text: str, changes: dict[str, str | None]) -> str:
-    """Replace, add and remove sections; a new one goes to the end.
+    """Replace, add and remove sections; new ones are appended.
 
     Args:
         text: The document.
@@ -87,7 +87,7 @@
 
 
 def compute_digest(text: str) -> bytes:
-    """Return a short digest by which two texts are compared."""
+    """Return a short digest for comparing two texts."""
     return hashlib.sha256(text.encode()).digest()[:DIGEST_BYTES]
 
 
--- a/ebonyrack/config/upstream_change.py
+++ b/ebonyrack/config/upstream_change.py
@@ -11,35 +11,34 @@
     from ebonyrack.config.sections import GroupSection
     from ebonyrack.config.stored import EditRecord
 
-# A proxy that has heard nobody for so long has stopped taking new work.
-SETTLE_S = 30
+# A proxy that had no contact for this long has stopped taking new work.
+PROPAGATION_LIMIT_S = 30
 
 
 def check_upstream_changes(
-    present: Document,
+    current: Document,
     wanted: Document,
     history: Iterable[EditRecord],
-    present_time_s: int,
+    current_time_s: int,
 ) -> tuple[str, ...]:
-    """Refuse changes after which two majorities of a group need not meet.
+    """Refuse changes after which two majorities of a group may not overlap.
 
-    Proxies take a revision over one after the other. As long as sets of upstreams
-    that are in force at the same time differ by one member, each majority of one
-    meets each majority of the other, so no acknowledged write is overlooked by a
-    ballot.
+    Proxies apply a revision one after the other. As long as sets of upstreams that
+    are in force at the same time differ by one member, each majority of one
+    overlaps each majority of the other, so no ballot misses an acknowledged write.
 
     Args:
-        present: The document in force.
+        current: The document in force.
         wanted: The document that would replace it.
         history: Recent edits.
-        present_time_s: The wall clock, in seconds since 1970.
+        current_time_s: The wall clock, in seconds since 1970.
 
     Returns:
-        One reason for each group that may not change so.
+        One reason for each group whose change is refused.
     """
     reasons = []
     for name, section in wanted.groups.items():
-        before = present.groups.get(name)
+        before = current.groups.get(name)
         if before is None:
             continue
         count = count_differences(before, section)
@@ -49,7 +48,7 @@
                 f" this changes {count}"
             )
         elif count == 1:
-            reasons.extend(find_unsettled(name, history, present_time_s))
+            reasons.extend(find_recent_edit(name, history, current_time_s))
     return tuple(reasons)
 
 
@@ -63,15 +62,15 @@
     return len(old ^ new)
 
 
-def find_unsettled(
-    name: str, history: Iterable[EditRecord], present_time_s: int
+def find_recent_edit(
+    name: str, history: Iterable[EditRecord], current_time_s: int
 ) -> list[str]:
-    """Find a recent edit of the same group that may not be in force everywhere.
+    """Find a recent edit of the same group that may not be in force everywhere yet.
 
     Args:
         name: Name of the group.
         history: Recent edits.
-        present_time_s: The wall clock, in seconds since 1970.
+        current_time_s: The wall clock, in seconds since 1970.
 
     Returns:
         At most one reason.
@@ -80,11 +79,11 @@
         edit
         for edit in history
         if f"group {name}" in edit.sections
-        and present_time_s - edit.accepted_at < SETTLE_S
+        and current_time_s - edit.accepted_at < PROPAGATION_LIMIT_S
     ]
     if not recent:
         return []
     return [
         f"[group {name}] upstreams: revision {recent[-1].revision} changed this section"
-        f" less than {SETTLE_S} s ago; try again later"
+        f" less than {PROPAGATION_LIMIT_S} s ago; try again later"
     ]
--- a/ebonyrack/config/verification.py
+++ b/ebonyrack/config/verification.py
@@ -1,4 +1,4 @@
-"""After a long pause of the process: is the document in force still the newest?"""
+"""Verification of the document in force after a long pause of the process."""
 
 from __future__ import annotations
 
@@ -7,8 +7,8 @@
 from loguru import logger
 from result import Ok
 
-from ebonyrack.config.spread import FETCH_TIMEOUT_S
-from ebonyrack.config.spread import DocumentSpread
+from ebonyrack.config.propagation import FETCH_TIMEOUT_S
+from ebonyrack.config.propagation import DocumentPropagation
 from ebonyrack.config.stored import DOCUMENT_KEY
 from ebonyrack.core.component import Component
 from ebonyrack.core.settings import PeerSettings
@@ -18,41 +18,44 @@
 from ebonyrack.peers.link import PeerLostError
 from ebonyrack.store.consul_store import ConsulStore
 
-RETRY_S = 0.2
-ASKED_PEERS = 3
+RETRY_DELAY_S = 0.2
+QUERIED_PEERS = 3
 
 
 class PauseVerification(Component):
-    """Asks a peer or the store after a long pause: an async context manager.
+    """Queries a peer or the store after a long pause: an async context manager.
 
-    What was buffered before the pause proves nothing, so only the answer to a
-    question that was asked after it counts.
+    Data that was buffered before the pause proves nothing, so only the reply to a
+    request that was sent after it counts.
 
     Attributes:
-        settings: Pauses longer than the cut-off time are verified.
-        spread: Passes revisions on between peers.
+        settings: Settings with the cut-off time; longer pauses are verified.
+        propagation: Fetches revisions from peers.
         store: The platform's store.
-        is_verified: False from a long pause until an answer came.
+        is_verified: False from a long pause until a reply arrives.
     """
 
-    __slots__ = ("settings", "spread", "store", "is_verified", "task")
+    __slots__ = ("settings", "propagation", "store", "is_verified", "task")
 
     def __init__(
-        self, settings: PeerSettings, spread: DocumentSpread, store: ConsulStore
+        self,
+        settings: PeerSettings,
+        propagation: DocumentPropagation,
+        store: ConsulStore,
     ) -> None:
         self.settings = settings
-        self.spread = spread
+        self.propagation = propagation
         self.store = store
         self.is_verified = True
         self.task: asyncio.Task[None] | None = None
-        spread.hub.pause_callbacks.append(self.notice_pause)
+        propagation.hub.pause_callbacks.append(self.handle_pause)
 
     async def stop(self) -> None:
-        """End the verification that runs."""
+        """Cancel a running verification."""
         await end_tasks([self.task])
 
-    def notice_pause(self, pause_s: float) -> None:
-        """Start to verify after a long pause.
+    def handle_pause(self, pause_s: float) -> None:
+        """Start a verification after a long pause.
 
         Args:
             pause_s: Length of the pause in seconds.
@@ -64,30 +67,30 @@
             self.task = asyncio.create_task(self.verify())
 
     async def verify(self) -> None:
-        """Ask until an answer comes."""
-        while not await self.ask_anyone():
-            await asyncio.sleep(RETRY_S)
+        """Query peers and the store until one replies."""
+        while not await self.query_peers_or_store():
+            await asyncio.sleep(RETRY_DELAY_S)
         self.is_verified = True
-        logger.bind(revision=self.spread.state.revision).info("document_verified")
+        logger.bind(revision=self.propagation.state.revision).info("document_verified")
 
-    async def ask_anyone(self) -> bool:
-        """Ask some peers, then the store; return whether any answered."""
-        for link in list(self.spread.hub.links.values())[:ASKED_PEERS]:
-            if await self.ask_peer(link):
+    async def query_peers_or_store(self) -> bool:
+        """Query some peers, then the store; return whether any replied."""
+        for link in list(self.propagation.hub.links.values())[:QUERIED_PEERS]:
+            if await self.query_peer(link):
                 return True
         answer = await self.store.get(DOCUMENT_KEY)
         if not isinstance(answer, Ok):
             return False
         if answer.ok_value is not None:
-            self.spread.state.offer_bytes(answer.ok_value.value, "store")
+            self.propagation.state.apply_bytes_if_newer(answer.ok_value.value, "store")
         return True
 
-    async def ask_peer(self, link: PeerLink) -> bool:
-        """Take over what a peer has; return whether it answered."""
-        revision = self.spread.state.revision
+    async def query_peer(self, link: PeerLink) -> bool:
+        """Apply a peer's newer revision, if any; return whether the peer replied."""
+        revision = self.propagation.state.revision
         try:
             reply = await link.request(AskDocument(revision), FETCH_TIMEOUT_S)
-            await self.spread.take_reply(link, reply)
+            await self.propagation.apply_reply(link, reply)
         except PeerLostError:
             return False
         return True
--- a/ebonyrack/config/watch.py
+++ b/ebonyrack/config/watch.py
@@ -1,4 +1,4 @@
-"""Watching the store for new revisions and for leaving VMs."""
+"""Watches of the store for new revisions and for leaving VMs."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from result import Result
 
 from ebonyrack.config.leaving_vms import LeavingVms
-from ebonyrack.config.spread import DocumentSpread
+from ebonyrack.config.propagation import DocumentPropagation
 from ebonyrack.config.state import ConfigurationState
 from ebonyrack.config.stored import DOCUMENT_KEY
 from ebonyrack.config.verification import PauseVerification
@@ -31,9 +31,9 @@
 
 FIRST_BACKOFF_S = 0.2
 MAXIMUM_BACKOFF_S = 5.0
-EMPTY_PAUSE_S = 1.0
-MINIMUM_PAUSE_S = 0.05
-SILENCE_SHARE = 0.4
+EMPTY_WATCH_DELAY_S = 1.0
+WATCH_DELAY_S = 0.05
+PROBE_AFTER_FRACTION = 0.4
 
 Step = Callable[[], Awaitable[Result[bool, StoreError]]]
 
@@ -41,8 +41,8 @@
 class ConfigurationWatch(Component):
     """Keeps the document and the VM list up to date: an async context manager.
 
-    Few proxies of each data centre watch the store, chosen by rendezvous hashing
-    over the live ones; the others hear from their peers.
+    A few proxies of each data centre, chosen by rendezvous hashing over the live
+    ones, watch the store; the others receive changes from their peers.
 
     Attributes:
         settings: Settings of the process.
@@ -50,9 +50,9 @@
         store: The platform's store.
         hub: Links to the peers.
         leaving_vms: Which VMs are leaving.
-        spread: Passes revisions on between peers.
+        propagation: Propagates revisions between peers.
         verification: Verifies the document after a long pause.
-        started_at_s: Time from which silence is counted.
+        started_at_s: Time from which silence is measured.
     """
 
     def __init__(
@@ -67,58 +67,60 @@
         self.store = store
         self.hub = hub
         self.leaving_vms = LeavingVms(store, hub)
-        self.spread = DocumentSpread(state, hub)
-        self.verification = PauseVerification(settings.peers, self.spread, store)
+        self.propagation = DocumentPropagation(state, hub)
+        self.verification = PauseVerification(settings.peers, self.propagation, store)
         self.started_at_s = now_s()
         self.index = 0
         self.members_changed = asyncio.Event()
         self.tasks: list[asyncio.Task[None]] = []
 
     async def start(self) -> None:
-        """Start to watch."""
+        """Start the watches."""
         self.started_at_s = now_s()
-        self.hub.membership.subscribe(self.notice_change)
+        self.hub.membership.subscribe(self.handle_member_change)
         self.tasks = [
             asyncio.create_task(self.watch_forever("document", self.watch_document)),
             asyncio.create_task(self.watch_forever("vms", self.watch_vms)),
-            asyncio.create_task(self.break_silence()),
+            asyncio.create_task(self.probe_store_when_silent()),
         ]
 
     async def stop(self) -> None:
-        """End the watches."""
+        """Stop the watches."""
         await end_tasks(self.tasks)
         await self.verification.stop()
 
     @property
     def is_watcher(self) -> bool:
         """Whether this proxy watches the store for its data centre."""
-        own = self.hub.membership.local
+        local = self.hub.membership.local
         peers = [
             member
             for member in self.hub.membership.live_members()
-            if member.data_centre == own.data_centre and member.name != own.name
+            if member.data_centre == local.data_centre and member.name != local.name
         ]
-        own_rank = rank_watcher(own)
-        better = sum(1 for member in peers if rank_watcher(member) < own_rank)
-        return better < self.settings.store.watchers_per_data_centre
+        local_rank = rank_watcher(local)
+        ranked_before = sum(1 for member in peers if rank_watcher(member) < local_rank)
+        return ranked_before < self.settings.store.watchers_per_data_centre
 
     @property
     def silence_s(self) -> float:
-        """Seconds since the store or any peer was heard."""
-        heard_at_s = max(
-            self.started_at_s, self.store.answered_at_s or 0.0, self.hub.heard_at_s
+        """Seconds since the last contact with the store or any peer."""
+        last_contact_at_s = max(
+            self.started_at_s,
+            self.store.answered_at_s or 0.0,
+            self.hub.last_heartbeat_at_s,
         )
-        return now_s() - heard_at_s
+        return now_s() - last_contact_at_s
 
     @property
     def is_cut_off(self) -> bool:
-        """Whether neither the store nor any peer was heard for the stated time."""
+        """Whether the document is unverified or contact was lost for the set time."""
         if not self.verification.is_verified:
             return True
         return self.silence_s > self.settings.peers.cut_off_after_s
 
-    def notice_change(self, member: Member) -> None:
-        """Look again who watches after a change of the members."""
+    def handle_member_change(self, member: Member) -> None:
+        """Re-evaluate who watches after a membership change."""
         self.members_changed.set()
 
     async def watch_forever(self, name: str, step: Step) -> None:
@@ -126,7 +128,7 @@
 
         Args:
             name: What is watched, for the log.
-            step: One watch; tells whether there was anything to wait for.
+            step: One watch; returns whether there is anything to watch.
         """
         backoff = Backoff(FIRST_BACKOFF_S, MAXIMUM_BACKOFF_S)
         while True:
@@ -141,27 +143,29 @@
                 await asyncio.sleep(backoff.choose_delay())
                 continue
             backoff.reset()
-            await asyncio.sleep(MINIMUM_PAUSE_S if result.ok_value else EMPTY_PAUSE_S)
+            await asyncio.sleep(
+                WATCH_DELAY_S if result.ok_value else EMPTY_WATCH_DELAY_S
+            )
 
     async def wait_until_watcher(self) -> None:
-        """Wait while enough others of the data centre watch."""
+        """Wait while enough other proxies of the data centre watch."""
         while not self.is_watcher:
             self.members_changed.clear()
             await self.members_changed.wait()
 
-    async def break_silence(self) -> None:
-        """Ask the store when nobody was heard for a part of the cut-off time.
+    async def probe_store_when_silent(self) -> None:
+        """Probe the store after a fraction of the cut-off time without contact.
 
-        A watch is silent for as long as nothing changes, so without this a proxy
-        that has no peers would count itself as cut off.
+        A watch returns nothing while nothing changes, so without this probe a proxy
+        that has no peers would consider itself cut off.
         """
-        limit_s = self.settings.peers.cut_off_after_s * SILENCE_SHARE
+        limit_s = self.settings.peers.cut_off_after_s * PROBE_AFTER_FRACTION
         while True:
             await asyncio.sleep(limit_s * random.uniform(0.5, 1.0))
             if self.silence_s > limit_s:
                 answer = await self.store.get(DOCUMENT_KEY)
                 if isinstance(answer, Ok) and answer.ok_value is not None:
-                    self.state.offer_bytes(answer.ok_value.value, "store")
+                    self.state.apply_bytes_if_newer(answer.ok_value.value, "store")
 
     async def watch_vms(self) -> Result[bool, StoreError]:
         """Wait once for a change of the VM list."""
@@ -172,15 +176,15 @@
         answer = await self.store.watch(
             DOCUMENT_KEY, self.index, self.settings.store.watch_s
         )
-        return answer.map(self.take_value)
+        return answer.map(self.apply_value)
 
-    def take_value(self, value: StoreValue | None) -> bool:
-        """Offer what a watch brought."""
+    def apply_value(self, value: StoreValue | None) -> bool:
+        """Apply the result of a watch."""
         if value is None:
             self.index = 0
             return False
         self.index = value.index
-        self.state.offer_bytes(value.value, "store")
+        self.state.apply_bytes_if_newer(value.value, "store")
         return True
 
 
--- a/ebonyrack/config/watch_test.py
+++ b/ebonyrack/config/watch_test.py
@@ -9,7 +9,7 @@
 from ebonyrack.config.edit_test import TEXT
 from ebonyrack.config.stored import EMPTY_STORED
 from ebonyrack.config.stored import pack_stored
-from ebonyrack.config.watch import SILENCE_SHARE
+from ebonyrack.config.watch import PROBE_AFTER_FRACTION
 from ebonyrack.core.clock import now_s
 from ebonyrack.peers.member_messages import Heartbeat
 from ebonyrack.standins.control_plane import wait_until
@@ -43,13 +43,13 @@
     watchers = [plane for plane in fleet.planes if plane.watch.is_watcher]
     assert len(watchers) == 2
     assert len({plane.settings.proxy.data_centre for plane in watchers}) == 2
-    # A change made past all proxies arrives through the watchers.
-    stored = pack_stored(EditText(3).stored)
+    # A change written directly to the store arrives through the watchers.
+    stored = pack_stored(DirectEdit(3).stored)
     fleet.platform.state.put("ebonyrack/document", stored, None, 0)
     await fleet.wait_revision(3)
 
 
-class EditText:
+class DirectEdit:
     def __init__(self, revision):
         self.stored = type(EMPTY_STORED)(revision, TEXT, ())
 
@@ -63,7 +63,7 @@
     assert late.state.document.groups.keys() == {"a"}
 
 
-async def test_a_restarted_proxy_and_a_stale_store_never_go_back(fleet):
+async def test_revision_never_decreases_after_a_restart_or_a_stale_read(fleet):
     first = await fleet.add()
     await accept(first)
     await accept(first, "user = booking", "user = new", "second")
@@ -72,8 +72,8 @@
     await fleet.wait_revision(2)
     seen = []
     late.state.subscribe(lambda document: seen.append(document.revision))
-    old = EditText(1).stored
-    assert not late.state.offer(old, "peer")
+    old = DirectEdit(1).stored
+    assert not late.state.apply_if_newer(old, "peer")
     fleet.platform.state.put("ebonyrack/document", pack_stored(old), None, 0)
     await wait_until(lambda: first.store.calls["watch"] > 2)
     assert seen == []
@@ -87,7 +87,7 @@
     await accept(first)
     await fleet.platform.stop()
     await wait_until(lambda: now_s() - first.store.answered_at_s > 0.7)
-    # The store alone is down: all go on.
+    # Only the store is down, so the proxies still have contact.
     assert not first.watch.is_cut_off
     await fleet.remove(second)
     await wait_until(lambda: first.watch.is_cut_off)
@@ -95,32 +95,32 @@
     await wait_until(lambda: not first.watch.is_cut_off)
 
 
-async def test_a_proxy_alone_with_a_quiet_store_is_not_cut_off(fleet):
+async def test_a_proxy_alone_with_an_unchanged_store_is_not_cut_off(fleet):
     plane = await fleet.add()
     await accept(plane)
     reads = plane.store.calls["get"]
     cut_off = []
 
-    def look():
+    def check():
         cut_off.append(plane.watch.is_cut_off)
         return plane.store.calls["get"] > reads + 4
 
-    await wait_until(look)
+    await wait_until(check)
     assert not any(cut_off)
 
 
 @pytest.mark.parametrize("has_peer", [True, False])
-async def test_a_long_pause_is_followed_by_a_question(fleet, has_peer):
+async def test_document_is_verified_after_a_long_pause(fleet, has_peer):
     first = await fleet.add()
     await accept(first)
     if has_peer:
         await fleet.add("second")
         await fleet.wait_linked()
-    # What was heard before counts for nothing, whoever is silent now.
+    # Contact before the pause doesn't count, even while nobody replies now.
     held = first.hub.links.copy()
     if not has_peer:
         fleet.platform.is_down = True
-    first.hub.heartbeat.pauses.schedule(-3.0)
+    first.hub.heartbeat.pause_detector.schedule(-3.0)
     first.hub.heartbeat.check_pause()
     assert first.watch.is_cut_off
     assert not first.watch.verification.is_verified
@@ -130,7 +130,7 @@
 
 
 @pytest.mark.parametrize("fault", ["stopped", "is_down", "delay_s"])
-async def test_a_broken_watch_is_no_storm(fleet, fault):
+async def test_failing_watches_back_off(fleet, fault):
     plane = await fleet.add()
     await accept(plane)
     if fault == "stopped":
@@ -142,13 +142,13 @@
     await wait_until(lambda: now_s() - started_s > 2.0)
     elapsed_s = now_s() - started_s
     calls = plane.store.calls - before
-    # Two watches, each with a first delay of 0.1 s at least, then doubled.
-    most = 2 + math.log2(1 + elapsed_s / 0.1)
-    assert calls["watch"] <= most
-    assert calls["watch_vms"] <= most
-    # One question at a time, with a pause that depends on the cut-off time.
-    pause_s = 0.5 * SILENCE_SHARE * plane.settings.peers.cut_off_after_s
-    assert calls.total() <= 2 * most + elapsed_s / pause_s + 1
+    # Two watches, each with a first delay of at least 0.1 s that then doubles.
+    maximum_calls = 2 + math.log2(1 + elapsed_s / 0.1)
+    assert calls["watch"] <= maximum_calls
+    assert calls["watch_vms"] <= maximum_calls
+    # One probe at a time, at an interval that depends on the cut-off time.
+    interval_s = 0.5 * PROBE_AFTER_FRACTION * plane.settings.peers.cut_off_after_s
+    assert calls.total() <= 2 * maximum_calls + elapsed_s / interval_s + 1
     fleet.platform.is_down = False
     fleet.platform.delay_s = 0.0
     if fault == "stopped":
@@ -174,7 +174,7 @@
     await wait_until(lambda: late.watch.leaving_vms.names == {"up-2"})
 
 
-async def test_changes_that_do_not_fit_bring_the_whole_document(fleet):
+async def test_whole_document_is_fetched_if_changes_do_not_apply(fleet):
     first = await fleet.add()
     second = await fleet.add()
     await fleet.wait_linked()
@@ -186,17 +186,17 @@
     assert second.state.stored == first.state.stored
 
 
-async def test_a_document_that_cannot_be_read_is_not_asked_for_again(fleet):
+async def test_invalid_document_is_not_requested_again(fleet):
     first = await fleet.add()
     await accept(first)
     bad = type(EMPTY_STORED)(9, "[colour red]\nx = 1\n", ())
-    assert not first.state.offer(bad, "peer")
+    assert not first.state.apply_if_newer(bad, "peer")
     assert first.state.revision == 1
-    assert not first.watch.spread.is_wanted(9)
-    assert first.watch.spread.is_wanted(10)
+    assert not first.watch.propagation.should_fetch(9)
+    assert first.watch.propagation.should_fetch(10)
 
 
-async def test_a_revision_that_a_link_lost_comes_with_the_next_heartbeat(fleet):
+async def test_revision_lost_on_a_link_is_fetched_after_the_next_heartbeat(fleet):
     first = await fleet.add(watchers=1)
     second = await fleet.add(watchers=1)
     await fleet.wait_linked()
--- a/ebonyrack/peers/codec.py
+++ b/ebonyrack/peers/codec.py
@@ -1,4 +1,4 @@
-"""Messages to bytes and back.
+"""Encoding and decoding of messages.
 
 A frame on a link is a msgpack array `[code, correlation, fields]`. The correlation
 is 0 for a one-way message, positive for a request and negative for its reply.
@@ -14,7 +14,7 @@
 from pydantic_core import ArgsKwargs
 
 from ebonyrack.core.address import Address
-from ebonyrack.peers import messages  # noqa: F401 (fills the table of types)
+from ebonyrack.peers import messages  # noqa: F401 (registers the message types)
 from ebonyrack.peers.message import MESSAGE_CODES
 from ebonyrack.peers.message import MESSAGE_TYPES
 from ebonyrack.peers.message import BadMessageError
@@ -38,7 +38,7 @@
         The frame.
     """
     frame = [MESSAGE_CODES[type(message)], correlation, get_fields(message)]
-    packed: bytes = msgpack.packb(frame, default=list_fields)
+    packed: bytes = msgpack.packb(frame, default=encode_record)
     return packed
 
 
@@ -69,7 +69,7 @@
 
 
 def parse_frame(frame: object) -> tuple[Message, int]:
-    """Read one decoded frame.
+    """Parse one unpacked frame.
 
     Args:
         frame: What msgpack unpacked.
@@ -78,7 +78,7 @@
         The message and its correlation.
 
     Raises:
-        BadMessageError: If it is no valid frame.
+        BadMessageError: If it is not a valid frame.
     """
     if not isinstance(frame, list) or len(frame) != 3 or not isinstance(frame[1], int):
         raise BadMessageError("not a frame of the peers' protocol")
@@ -86,8 +86,8 @@
     return build_message(code, fields), correlation
 
 
-def list_fields(record: object) -> Any:
-    """Turn a record into what msgpack can pack."""
+def encode_record(record: object) -> Any:
+    """Convert a record to a value that msgpack can pack."""
     if isinstance(record, Message):
         return get_fields(record)
     if isinstance(record, Address):
--- a/ebonyrack/peers/codec_test.py
+++ b/ebonyrack/peers/codec_test.py
@@ -15,8 +15,8 @@
 from ebonyrack.peers.message import Message
 from ebonyrack.peers.message import register_message
 
-# Fields travel by position: processes of two releases understand each other only
-# while a code keeps its name and the order of its fields.
+# Fields are encoded by position: processes of two releases understand each other
+# only while a code keeps its name and the order of its fields.
 WIRE_FORMAT = {
     1: "Hello version role member nonce",
     2: "Proof digest",
@@ -60,18 +60,18 @@
     return " ".join([message_type.__name__, *message_type.__dataclass_fields__])
 
 
-def test_codes_and_fields_on_the_wire_stay():
+def test_wire_format_is_unchanged():
     present = {code: describe(entry) for code, entry in MESSAGE_TYPES.items()}
     assert present == WIRE_FORMAT
 
 
-def test_every_module_of_messages_is_imported():
+def test_every_message_module_is_imported():
     folder = Path(messages.__file__).parent
     modules = [path.stem for path in folder.glob("*_messages.py")]
     assert sorted(modules) == sorted(messages.__all__)
 
 
-def test_a_frame_is_an_array_and_is_read_back():
+def test_frame_is_an_array_and_round_trips():
     heartbeat = Heartbeat(5, 6, 7, 200, (MEMBER,))
     frame = msgpack.unpackb(pack_message(heartbeat, -3))
     assert frame == [10, -3, [5, 6, 7, 200, [MEMBER_ARRAY]]]
@@ -92,12 +92,12 @@
         [10, 0, [5, 6, 7, 200, [[*MEMBER_ARRAY[:-1], 9]]]],
     ],
 )
-def test_a_frame_that_is_no_message_is_refused(frame):
+def test_invalid_frame_is_rejected(frame):
     with pytest.raises(BadMessageError):
         parse_frame(frame)
 
 
-def test_a_code_is_given_once():
+def test_duplicate_message_code_is_rejected():
     with pytest.raises(ValueError, match="code 10 is registered already"):
 
         @register_message(10)
--- a/ebonyrack/peers/document_messages.py
+++ b/ebonyrack/peers/document_messages.py
@@ -1,4 +1,4 @@
-"""Messages that pass on what the platform's store and list hold."""
+"""Messages that propagate the document and the list of leaving VMs."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 @register_message(30)
 class DocumentNews(Message):
-    """A revision of the document that the sender runs."""
+    """Announcement of the document revision that the sender runs."""
 
     revision: int
 
@@ -32,7 +32,7 @@
 
 @register_message(33)
 class ChangesReply(Message):
-    """What changed in the document since the revision that was asked about.
+    """Changes of the document since the revision in the request.
 
     Attributes:
         base_revision: Revision to which the changes apply.
--- a/ebonyrack/peers/edit_messages.py
+++ b/ebonyrack/peers/edit_messages.py
@@ -11,13 +11,13 @@
     """An operator's change of the document.
 
     Attributes:
-        edit_id: Identity of the edit, by which a lost answer is settled.
+        edit_id: Identity of the edit, by which an unknown outcome is resolved.
         operator: Name of the operator.
-        base_revision: Revision that the operator started from.
+        base_revision: Revision that the edit is based on.
         changes: Title of each changed section to its text, None to remove it.
-        expected: Title of each changed section to the digest of the text that
-            the operator started from.
-        limit_s: Seconds within which the operator wants an answer.
+        expected: Title of each changed section to the digest of its text in the
+            base revision.
+        limit_s: Seconds within which the operator wants a reply.
         is_repeat: Whether an earlier attempt may have been made.
     """
 
@@ -37,8 +37,8 @@
     Attributes:
         outcome: `accepted`, `refused`, `not_accepted` or `unknown`.
         revision: Revision that holds the edit, if accepted.
-        reasons: Faults of the document, or why it was not accepted.
-        difference: Unified diff to the document in force, for a lost race.
+        reasons: Configuration errors, or why it was not accepted.
+        difference: Unified diff to the document in force, for a conflict.
     """
 
     outcome: str
@@ -49,11 +49,11 @@
 
 @register_message(52)
 class AskRevisions(Message):
-    """An operator's question which proxies run which revision."""
+    """An operator's request for the revision that each proxy runs."""
 
 
 @register_message(53)
 class RevisionsReply(Message):
-    """Proxy name to the revision that it runs; 0 if it was not reached."""
+    """Revision that each proxy runs, by name; 0 if a proxy was not reached."""
 
     revisions: dict[str, int]
--- a/ebonyrack/peers/silence.py
+++ b/ebonyrack/peers/failure_detector.py
@@ -1,4 +1,4 @@
-"""Silent members: who is asked about them, doubted and held for dead."""
+"""Detection of failed members by their silence and by probes."""
 
 from __future__ import annotations
 
@@ -20,17 +20,17 @@
     from ebonyrack.peers.hub import PeerHub
 
 MISSED_HEARTBEATS = 4
-LATENESS_FADING = 0.8
-WITNESSES = 3
+LATENESS_DECAY = 0.8
+INDIRECT_PROBES = 3
 
 
-class SilenceWatch:
-    """Looks into members from which nothing is heard.
+class FailureDetector:
+    """Checks silent members, suspects them and declares them dead.
 
     Attributes:
         hub: Links of this proxy.
-        checks: Checks of silent members that are running, by name.
-        lateness_s: Seconds by which this process is late of late, fading.
+        checks: Running checks of silent members, by name.
+        lateness_s: Recent maximum lateness of this process in seconds, decaying.
     """
 
     def __init__(self, hub: PeerHub) -> None:
@@ -39,12 +39,12 @@
         self.lateness_s = 0.0
         hub.register_handler(AskReach, self.receive_ask_reach)
 
-    def note_lateness(self, lateness_s: float) -> None:
-        """Note how late this process serves its own timers."""
-        self.lateness_s = max(lateness_s, self.lateness_s * LATENESS_FADING)
+    def record_lateness(self, lateness_s: float) -> None:
+        """Record how late this process serves its own timers."""
+        self.lateness_s = max(lateness_s, self.lateness_s * LATENESS_DECAY)
 
     def check_members(self) -> None:
-        """Start a check of each member that fell silent; bury the long silent."""
+        """Start a check of each silent member; declare overdue suspects dead."""
         for name, entry in tuple(self.hub.membership.entries.items()):
             state = entry.member.state
             if state is MemberState.SUSPECT:
@@ -53,29 +53,31 @@
                 self.start_check(name)
 
     def declare_dead_if_due(self, name: str, entry: MemberEntry) -> None:
-        """Hold a suspect for dead when it has not refuted in time."""
+        """Declare a suspect dead if it has not refuted the suspicion in time."""
         peers = self.hub.settings.peers
-        scale = self.find_suspect_after(entry) / peers.suspect_after_s
+        scale = self.compute_suspect_after_s(entry) / peers.suspect_after_s
         limit_s = (peers.dead_after_s - peers.suspect_after_s) * scale
         if now_s() - entry.changed_at_s > limit_s:
             self.hub.membership.declare_dead(name)
 
     def is_silent(self, entry: MemberEntry) -> bool:
-        """Tell whether a member that this proxy listens to fell silent."""
-        if entry.heard_at_s is None and self.hub.contacts.is_sparse:
+        """Return whether a member that this proxy monitors is silent for too long."""
+        if entry.last_contact_at_s is None and self.hub.dialler.is_sparse:
             return False
-        return self.measure_silence(entry) > self.find_suspect_after(entry)
+        return self.measure_silence(entry) > self.compute_suspect_after_s(entry)
 
     def measure_silence(self, entry: MemberEntry) -> float:
-        """Return the seconds since a member's last direct sign of life."""
-        heard_at_s = entry.heard_at_s
-        return now_s() - (entry.changed_at_s if heard_at_s is None else heard_at_s)
+        """Return the seconds since the last direct contact with a member."""
+        last_contact_at_s = entry.last_contact_at_s
+        return now_s() - (
+            entry.changed_at_s if last_contact_at_s is None else last_contact_at_s
+        )
 
-    def find_suspect_after(self, entry: MemberEntry) -> float:
-        """Return the seconds of silence after which a member is doubted.
+    def compute_suspect_after_s(self, entry: MemberEntry) -> float:
+        """Return the seconds of silence after which a member is checked.
 
-        An overloaded proxy reads late what its peers sent in time, so it allows
-        them as much again as it is late itself.
+        An overloaded proxy reads late what its peers sent in time, so its own
+        lateness is added to their heartbeat interval.
         """
         interval_s = (
             max(entry.interval_s, self.hub.heartbeat.interval_s) + self.lateness_s
@@ -85,51 +87,53 @@
         )
 
     def start_check(self, name: str) -> None:
-        """Ask others about a silent member, one check of it at a time."""
+        """Start a check of a silent member unless one is running."""
         if name not in self.checks:
-            task = self.hub.own_task(self.check_member(name))
+            task = self.hub.start_task(self.check_member(name))
             self.checks[name] = task
             task.add_done_callback(lambda _: self.checks.pop(name, None))
 
     async def check_member(self, name: str) -> None:
-        """Suspect a member that answers neither this proxy nor the witnesses."""
+        """Suspect a member that neither direct nor indirect probes reach."""
         started_s = now_s()
-        answers = await asyncio.gather(self.probe(name), self.ask_witnesses(name))
+        answers = await asyncio.gather(self.probe(name), self.probe_indirectly(name))
         entry = self.hub.membership.entries.get(name)
         if entry is None or entry.member.state is MemberState.DEAD:
             return
         if any(answers):
-            self.note_reached(name)
-        elif (entry.heard_at_s or 0.0) < started_s:
-            self.doubt(entry.member)
-
-    def note_reached(self, name: str) -> None:
-        """Note that a silent member lives; without a link others watch it."""
-        if self.hub.contacts.is_sparse and name not in self.hub.links:
-            self.hub.membership.stop_listening(name)
+            self.record_reachable(name)
+        elif (entry.last_contact_at_s or 0.0) < started_s:
+            self.suspect_or_declare_dead(entry.member)
+
+    def record_reachable(self, name: str) -> None:
+        """Record that a silent member is alive; without a link, others monitor it."""
+        if self.hub.dialler.is_sparse and name not in self.hub.links:
+            self.hub.membership.stop_monitoring(name)
         else:
-            self.hub.membership.note_heard(name)
+            self.hub.membership.record_contact(name)
 
-    def doubt(self, member: Member) -> None:
-        """Suspect a member; one that said it leaves has left."""
+    def suspect_or_declare_dead(self, member: Member) -> None:
+        """Suspect a member; declare it dead if it announced that it leaves."""
         if member.state is MemberState.LEAVING:
             self.hub.membership.declare_dead(member.name)
         else:
-            self.hub.membership.suspect(member.name)
+            self.hub.membership.mark_suspect(member.name)
 
-    async def ask_witnesses(self, name: str) -> bool:
-        """Return whether any of a few other peers reaches a member."""
+    async def probe_indirectly(self, name: str) -> bool:
+        """Return whether any of a few random peers reaches a member."""
         others = [peer for peer in self.hub.links if peer != name]
-        chosen = random.sample(others, min(WITNESSES, len(others)))
+        chosen = random.sample(others, min(INDIRECT_PROBES, len(others)))
         answers = await asyncio.gather(
-            *(self.ask_witness(peer, name) for peer in chosen)
+            *(self.probe_through_peer(peer, name) for peer in chosen)
         )
         return any(answers)
 
-    async def ask_witness(self, peer: str, name: str) -> bool:
+    async def probe_through_peer(self, peer: str, name: str) -> bool:
         """Return whether one peer reaches a member."""
         try:
-            reply = await self.hub.request(peer, AskReach(name), self.find_patience(3))
+            reply = await self.hub.request(
+                peer, AskReach(name), self.compute_reply_timeout_s(3)
+            )
         except PeerLostError:
             return False
         return isinstance(reply, ReachReply) and reply.is_reachable
@@ -137,19 +141,21 @@
     async def receive_ask_reach(
         self, link: PeerLink, message: AskReach
     ) -> Message | None:
-        """Answer whether this proxy reaches a member that another doesn't."""
+        """Reply whether this proxy reaches a member that another doesn't reach."""
         return ReachReply(await self.probe(message.name))
 
     async def probe(self, name: str) -> bool:
-        """Return whether a member answers this proxy itself."""
+        """Return whether a member replies to this proxy itself."""
         if name == self.hub.membership.local.name:
             return True
         try:
-            await self.hub.request(name, AskReach(name), self.find_patience(2))
+            await self.hub.request(
+                name, AskReach(name), self.compute_reply_timeout_s(2)
+            )
         except PeerLostError:
             return False
         return True
 
-    def find_patience(self, intervals: int) -> float:
-        """Return the seconds to wait for an answer of a peer."""
+    def compute_reply_timeout_s(self, intervals: int) -> float:
+        """Return the seconds to wait for a peer's reply."""
         return intervals * (self.hub.heartbeat.interval_s + self.lateness_s)
--- a/ebonyrack/peers/flood.py
+++ b/ebonyrack/peers/flood.py
@@ -1,4 +1,4 @@
-"""One-way messages that reach every proxy, passed on from peer to peer."""
+"""Flooding of one-way messages to every proxy, relayed from peer to peer."""
 
 from __future__ import annotations
 
@@ -19,16 +19,16 @@
 if TYPE_CHECKING:
     from ebonyrack.peers.hub import PeerHub
 
-REMEMBERED_FLOODS = 4096
+MAXIMUM_SEEN_FLOODS = 4096
 IDENTITY_BITS = 48
 
 
 class FloodRelay:
-    """Sends messages to all proxies and passes on those of others, each once.
+    """Broadcasts messages to all proxies and relays those of others, each once.
 
     Attributes:
         hub: Links of this proxy.
-        seen: Identities of the messages of late, oldest first.
+        seen: Identities of recent messages, oldest first.
     """
 
     __slots__ = ("hub", "seen")
@@ -42,32 +42,32 @@
         """Send a one-way message to all proxies.
 
         Args:
-            message: The message; peers pass it on while not all are linked.
+            message: The message; peers relay it if the links are no full mesh.
         """
         identity = secrets.randbits(IDENTITY_BITS)
-        self.remember(identity)
+        self.record_identity(identity)
         code = MESSAGE_CODES[type(message)]
         self.hub.send_to_links(Flood(identity, code, get_fields(message)), None)
 
-    def remember(self, identity: int) -> bool:
-        """Note a flooded message; return whether it was seen before."""
+    def record_identity(self, identity: int) -> bool:
+        """Record a flooded message; return whether it was seen before."""
         if identity in self.seen:
             return True
         self.seen[identity] = None
-        if len(self.seen) > REMEMBERED_FLOODS:
+        if len(self.seen) > MAXIMUM_SEEN_FLOODS:
             self.seen.popitem(last=False)
         return False
 
     async def receive(self, link: PeerLink, flood: Flood) -> Message | None:
-        """Pass a flooded message on and serve it, the first time it comes."""
-        if self.remember(flood.identity):
+        """Relay and handle a flooded message the first time it arrives."""
+        if self.record_identity(flood.identity):
             return None
         try:
             message = build_message(flood.code, flood.fields)
         except BadMessageError as error:
             logger.bind(reason=str(error)).warning("peer_sent_bad_message")
             return None
-        if self.hub.contacts.is_sparse:
+        if self.hub.dialler.is_sparse:
             self.hub.send_to_links(flood, link)
         if not isinstance(message, Flood):
             await self.hub.dispatch(link, message)
--- a/ebonyrack/peers/frames.py
+++ b/ebonyrack/peers/frames.py
@@ -1,4 +1,4 @@
-"""Messages as frames on one byte stream."""
+"""Reading and writing of messages as frames on a byte stream."""
 
 from __future__ import annotations
 
@@ -41,16 +41,23 @@
 
 
 class FrameStream:
-    """Reads and writes frames; only small ones until `accept_full_frames`.
+    """Reads and writes frames; reads only small ones until `accept_full_frames`.
 
     Attributes:
         reader: Incoming bytes.
         writer: Outgoing bytes.
-        traffic: Counters of the owner.
-        heard_at_s: Time of the last frame received.
+        traffic: Traffic counters to update.
+        last_received_at_s: Time of the last frame received.
     """
 
-    __slots__ = ("reader", "writer", "traffic", "heard_at_s", "read_bytes", "unpacker")
+    __slots__ = (
+        "reader",
+        "writer",
+        "traffic",
+        "last_received_at_s",
+        "read_bytes",
+        "unpacker",
+    )
 
     def __init__(
         self,
@@ -61,14 +68,14 @@
         self.reader = reader
         self.writer = writer
         self.traffic = traffic
-        self.heard_at_s = now_s()
-        # Small reads keep what follows the handshake out of the small first buffer.
+        self.last_received_at_s = now_s()
+        # Small reads keep data after the handshake out of the small first buffer.
         self.read_bytes = HANDSHAKE_READ_BYTES
         self.unpacker = msgpack.Unpacker(max_buffer_size=HANDSHAKE_FRAME_BYTES)
 
     @property
     def is_queue_full(self) -> bool:
-        """Whether the other side leaves too much unread for more to be queued."""
+        """Whether too much is queued because the other side reads too slowly."""
         return self.writer.transport.get_write_buffer_size() > SEND_QUEUE_BYTES
 
     def write_frame(self, message: Message, correlation: int = 0) -> None:
@@ -91,7 +98,7 @@
             The message and its correlation.
 
         Raises:
-            BadMessageError: If the bytes are no valid message.
+            BadMessageError: If the bytes are not a valid message.
             ConnectionError: If the other side closed the stream.
         """
         while True:
@@ -103,7 +110,7 @@
             except (ValueError, msgpack.UnpackException) as error:
                 raise BadMessageError(f"not msgpack: {error!r}") from error
             self.traffic.messages_received += 1
-            self.heard_at_s = now_s()
+            self.last_received_at_s = now_s()
             return parse_frame(frame)
 
     async def fill_unpacker(self) -> None:
@@ -119,7 +126,7 @@
             raise BadMessageError("the frame is too large") from error
 
     def accept_full_frames(self) -> None:
-        """Read frames of full size from now on; keep what was read already."""
+        """Accept frames of full size from now on; keep the bytes already read."""
         unpacker = msgpack.Unpacker(max_buffer_size=MAXIMUM_FRAME_BYTES)
         unpacker.feed(self.unpacker.read_bytes(HANDSHAKE_FRAME_BYTES))
         self.unpacker = unpacker
@@ -128,6 +135,6 @@
     def close_stream(self) -> None:
         """Close the connection."""
         if self.writer.transport.get_write_buffer_size() > 0:
-            # A peer that doesn't read would keep the socket open for ever.
+            # A peer that doesn't read would keep the socket open forever.
             self.writer.transport.abort()
         self.writer.close()
--- a/ebonyrack/peers/handshake.py
+++ b/ebonyrack/peers/handshake.py
@@ -1,4 +1,4 @@
-"""How two processes prove to each other that they know the shared secret."""
+"""Mutual authentication of two processes by their shared secret."""
 
 from __future__ import annotations
 
@@ -17,27 +17,27 @@
 
 
 def build_hello(member: Member, role: str) -> Hello:
-    """Build the hello of one link, with a fresh challenge."""
+    """Build the hello message of one link, with a fresh challenge."""
     nonce = secrets.token_bytes(NONCE_BYTES)
     return Hello(PROTOCOL_VERSION, role, member, nonce)
 
 
-async def shake_hands(
+async def perform_handshake(
     stream: FrameStream, hello: Hello, is_dialler: bool, secret: str
 ) -> Hello:
-    """Exchange hellos and proofs; full frames are read from then on.
+    """Exchange hellos and proofs; accept frames of full size afterwards.
 
     Args:
         stream: A stream on which nothing was sent yet.
-        hello: What this side says of itself.
+        hello: Hello message of this side.
         is_dialler: Whether this side opened the connection.
         secret: Secret that all processes share.
 
     Returns:
-        What the other side says of itself.
+        Hello message of the other side.
 
     Raises:
-        BadMessageError: If the other side speaks otherwise or proves nothing.
+        BadMessageError: If the other side breaks the protocol or its proof is wrong.
         ConnectionError: If the other side closed the stream.
     """
     stream.write_frame(hello)
@@ -52,12 +52,12 @@
 
 
 async def read_hello(stream: FrameStream) -> Hello:
-    """Read the other side's hello and check that its proof can be answered."""
+    """Read the other side's hello and check its version and challenge."""
     remote, _ = await stream.read_frame()
     if not isinstance(remote, Hello):
-        raise BadMessageError("the first message is no hello")
+        raise BadMessageError("the first message is not a hello")
     if remote.version != PROTOCOL_VERSION:
-        raise BadMessageError(f"protocol version {remote.version} is not spoken")
+        raise BadMessageError(f"protocol version {remote.version} is not supported")
     if len(remote.nonce) < NONCE_BYTES:
         raise BadMessageError("the challenge is too short")
     return remote
@@ -66,7 +66,7 @@
 def build_digest(
     sender: Hello, receiver: Hello, is_dialler: bool, secret: str
 ) -> bytes:
-    """Build the digest by which the sender of a hello proves to know the secret."""
+    """Build the digest that proves that the sender of a hello knows the secret."""
     side = b"dialler" if is_dialler else b"listener"
     content = side + pack_message(sender) + pack_message(receiver)
     return hmac.digest(secret.encode(), content, "sha256")
--- a/ebonyrack/peers/heartbeat.py
+++ b/ebonyrack/peers/heartbeat.py
@@ -1,4 +1,4 @@
-"""Heartbeats to the linked peers, and the news that travels with them."""
+"""Heartbeats to the linked peers, with piggybacked membership updates."""
 
 from __future__ import annotations
 
@@ -25,120 +25,120 @@
     from ebonyrack.peers.hub import PeerHub
 
 SPARSE_INTERVAL_FACTOR = 3
-NEWS_IN_HEARTBEAT = 16
-NEWS_DELAY_S = 0.02
+MAXIMUM_UPDATES_PER_HEARTBEAT = 16
+UPDATE_BATCH_DELAY_S = 0.02
 SYNC_INTERVAL_S = 1.0
 MAXIMUM_SYNC_INTERVAL_S = 30.0
 SYNC_TIMEOUT_S = 2.0
 
 
 class HeartbeatTask(Component):
-    """Sends heartbeats and news: an async context manager.
+    """Sends heartbeats and membership updates: an async context manager.
 
     Attributes:
         hub: Links of this proxy.
-        news: Names of changed members that a link has not been told, by peer.
-        synced_at_s: Time of the last fetch of a whole table.
-        sync_pause_s: Seconds from that fetch to the next, if one is needed.
-        has_news: Set while news is waiting to go out at once.
-        pauses: Notices when this process was paused.
+        pending_updates: Names of changed members not yet sent on a link, by peer.
+        synced_at_s: Time of the last exchange of whole tables.
+        sync_interval_s: Minimum seconds from that exchange to the next.
+        has_updates: Set while updates wait to be sent at once.
+        pause_detector: Detects pauses of this process.
     """
 
     def __init__(self, hub: PeerHub) -> None:
         self.hub = hub
-        self.news: dict[str, dict[str, None]] = {}
+        self.pending_updates: dict[str, dict[str, None]] = {}
         self.synced_at_s = 0.0
-        self.sync_pause_s = SYNC_INTERVAL_S
-        self.has_news = asyncio.Event()
+        self.sync_interval_s = SYNC_INTERVAL_S
+        self.has_updates = asyncio.Event()
         self.task: asyncio.Task[None] | None = None
-        self.pauses = PauseDetector(hub.settings.peers.suspect_after_s)
+        self.pause_detector = PauseDetector(hub.settings.peers.suspect_after_s)
         hub.register_handler(Heartbeat, self.receive_heartbeat)
         hub.register_handler(AskMembers, self.receive_ask_members)
 
     async def start(self) -> None:
-        """Start to beat."""
-        self.hub.membership.subscribe(self.spread)
+        """Start to send heartbeats."""
+        self.hub.membership.subscribe(self.queue_update)
         self.task = asyncio.create_task(self.run())
 
     async def stop(self) -> None:
-        """End the task that beats."""
+        """Stop sending heartbeats."""
         await end_tasks([self.task])
 
     @property
     def interval_s(self) -> float:
         """Seconds between two heartbeats on a link."""
         interval_s = self.hub.settings.peers.heartbeat_interval_s
-        if self.hub.contacts.is_sparse:
+        if self.hub.dialler.is_sparse:
             return interval_s * SPARSE_INTERVAL_FACTOR
         return interval_s
 
     async def run(self) -> None:
-        """Beat for as long as the hub is open."""
+        """Send heartbeats while the hub is open."""
         next_at_s = now_s()
         while True:
             await self.wait_until(next_at_s)
             if now_s() < next_at_s:
-                self.send_news()
+                self.send_updates()
                 continue
-            self.hub.silence.note_lateness(now_s() - next_at_s)
+            self.hub.failure_detector.record_lateness(now_s() - next_at_s)
             self.check_pause()
-            self.hub.silence.check_members()
-            self.hub.membership.forget_dead()
+            self.hub.failure_detector.check_members()
+            self.hub.membership.remove_dead()
             for name in tuple(self.hub.links):
                 self.send_heartbeat(name)
             next_at_s = now_s() + self.interval_s * random.uniform(0.9, 1.0)
 
     async def wait_until(self, next_at_s: float) -> None:
-        """Wait for the next heartbeat or for news to send at once."""
+        """Wait for the next heartbeat or for updates to send at once."""
         delay_s = max(0.0, next_at_s - now_s())
-        self.pauses.schedule(delay_s)
+        self.pause_detector.schedule(delay_s)
         try:
             async with asyncio.timeout(delay_s):
-                await self.has_news.wait()
-                # News that comes in a burst travels together.
-                await asyncio.sleep(NEWS_DELAY_S)
+                await self.has_updates.wait()
+                # Updates that arrive in a burst are sent together.
+                await asyncio.sleep(UPDATE_BATCH_DELAY_S)
         except TimeoutError:
             return
 
     def check_pause(self) -> None:
-        """After a pause of this process, don't blame the peers for the silence."""
-        pause_s = self.pauses.measure_pause()
+        """After a pause of this process, don't count its silence against the peers."""
+        pause_s = self.pause_detector.measure_pause()
         if pause_s:
             logger.bind(pause_s=round(pause_s, 3)).warning("process_was_paused")
-            self.hub.membership.forgive_silence()
+            self.hub.membership.restart_silence_timers()
             for callback in self.hub.pause_callbacks:
                 callback(pause_s)
 
-    def start_link(self, link: PeerLink) -> None:
+    def send_first_heartbeat(self, link: PeerLink) -> None:
         """Send the first heartbeat on a new link."""
-        self.news[link.member.name] = {}
+        self.pending_updates[link.member.name] = {}
         self.send_heartbeat(link.member.name)
 
-    def spread(self, member: Member) -> None:
+    def queue_update(self, member: Member) -> None:
         """Queue a changed member for all links."""
         for name in self.hub.links:
             if name != member.name or member.state is not MemberState.ALIVE:
-                self.news.setdefault(name, {})[member.name] = None
-        self.has_news.set()
+                self.pending_updates.setdefault(name, {})[member.name] = None
+        self.has_updates.set()
 
-    def send_news(self) -> None:
-        """Send what is queued, without waiting for the next heartbeat."""
-        self.has_news.clear()
-        for name in [name for name, queued in self.news.items() if queued]:
+    def send_updates(self) -> None:
+        """Send the queued updates without waiting for the next heartbeat."""
+        self.has_updates.clear()
+        for name in [name for name, queued in self.pending_updates.items() if queued]:
             if name in self.hub.links:
                 self.send_heartbeat(name)
             else:
-                del self.news[name]
+                del self.pending_updates[name]
 
     def send_heartbeat(self, name: str) -> None:
-        """Send one heartbeat with some news to a linked peer."""
-        queued = self.news.setdefault(name, {})
-        chosen = list(queued)[:NEWS_IN_HEARTBEAT]
+        """Send one heartbeat with some queued updates to a linked peer."""
+        queued = self.pending_updates.setdefault(name, {})
+        chosen = list(queued)[:MAXIMUM_UPDATES_PER_HEARTBEAT]
         members = [self.hub.membership.find(changed) for changed in chosen]
         for changed in chosen:
             del queued[changed]
         if queued:
-            self.has_news.set()
+            self.has_updates.set()
         heartbeat = Heartbeat(
             incarnation=self.hub.membership.local.incarnation,
             revision=self.hub.revision,
@@ -146,57 +146,57 @@
             interval_ms=round(self.interval_s * 1000),
             news=tuple(member for member in members if member is not None),
         )
-        self.hub.tell(name, heartbeat)
+        self.hub.send_to_peer(name, heartbeat)
 
     async def receive_heartbeat(self, link: PeerLink, heartbeat: Heartbeat) -> None:
-        """Take note of a sign of life and its news."""
+        """Record a heartbeat and merge its updates."""
         name = link.member.name
         membership = self.hub.membership
-        self.hub.heard_at_s = now_s()
+        self.hub.last_heartbeat_at_s = now_s()
         for member in heartbeat.news:
             if not membership.merge(member):
-                self.correct(name, member)
-            self.skip_known(name, member)
-        self.check_incarnation(link, heartbeat)
-        membership.note_heard(name, heartbeat.interval_ms / 1000)
+                self.queue_correction(name, member)
+            self.discard_known_update(name, member)
+        self.prompt_refutation(link, heartbeat)
+        membership.record_contact(name, heartbeat.interval_ms / 1000)
         if heartbeat.digest == membership.digest:
-            self.sync_pause_s = SYNC_INTERVAL_S
-        elif now_s() >= self.synced_at_s + self.sync_pause_s:
+            self.sync_interval_s = SYNC_INTERVAL_S
+        elif now_s() >= self.synced_at_s + self.sync_interval_s:
             await self.sync(link)
 
-    def correct(self, name: str, offered: Member) -> None:
-        """Tell a peer what is newer than what it said about a member."""
+    def queue_correction(self, name: str, offered: Member) -> None:
+        """Queue the known description of a member for a peer that sent another."""
         known = self.hub.membership.find(offered.name)
         if known is not None and known != offered:
-            self.news.setdefault(name, {})[offered.name] = None
-            self.has_news.set()
+            self.pending_updates.setdefault(name, {})[offered.name] = None
+            self.has_updates.set()
 
-    def skip_known(self, name: str, told: Member) -> None:
-        """Don't tell a peer what it has just told itself."""
-        queued = self.news.get(name)
+    def discard_known_update(self, name: str, received: Member) -> None:
+        """Discard a queued update that the peer itself has just sent."""
+        queued = self.pending_updates.get(name)
         if (
             queued
-            and told.name in queued
-            and self.hub.membership.find(told.name) == told
+            and received.name in queued
+            and self.hub.membership.find(received.name) == received
         ):
-            del queued[told.name]
+            del queued[received.name]
 
-    def check_incarnation(self, link: PeerLink, heartbeat: Heartbeat) -> None:
-        """Tell a peer that lives what is held of it, so that it can refute it."""
+    def prompt_refutation(self, link: PeerLink, heartbeat: Heartbeat) -> None:
+        """Send a live peer its suspect or dead state, so that it can refute it."""
         known = self.hub.membership.find(link.member.name)
         if known is None:
             return
-        is_doubted = known.state in (MemberState.SUSPECT, MemberState.DEAD)
-        if is_doubted and known.incarnation >= heartbeat.incarnation:
-            self.news.setdefault(link.member.name, {})[known.name] = None
-            self.has_news.set()
+        is_suspected = known.state in (MemberState.SUSPECT, MemberState.DEAD)
+        if is_suspected and known.incarnation >= heartbeat.incarnation:
+            self.pending_updates.setdefault(link.member.name, {})[known.name] = None
+            self.has_updates.set()
 
     async def sync(self, link: PeerLink) -> None:
         """Exchange whole tables with a peer whose digest differs.
 
-        News is lost when a link ends before it was sent, so a difference that
-        lasts is looked into soon, then ever more rarely: with many proxies some
-        change is always under way, and a table is large.
+        Updates are lost when a link ends before they are sent, so a lasting
+        difference leads to an exchange soon, then ever more rarely: with many
+        proxies some change is always in progress, and a table is large.
         """
         self.synced_at_s = now_s()
         try:
@@ -205,23 +205,25 @@
             return
         if not isinstance(reply, MembersReply):
             return
-        if self.hub.contacts.is_sparse:
-            self.sync_pause_s = min(2 * self.sync_pause_s, MAXIMUM_SYNC_INTERVAL_S)
+        if self.hub.dialler.is_sparse:
+            self.sync_interval_s = min(
+                2 * self.sync_interval_s, MAXIMUM_SYNC_INTERVAL_S
+            )
         for member in reply.members:
             if not self.hub.membership.merge(member):
-                self.correct(link.member.name, member)
-        self.tell_missing(link.member.name, reply)
+                self.queue_correction(link.member.name, member)
+        self.queue_missing_members(link.member.name, reply)
 
-    def tell_missing(self, name: str, reply: MembersReply) -> None:
+    def queue_missing_members(self, name: str, reply: MembersReply) -> None:
         """Queue for a peer the members that its table lacks."""
         listed = {member.name for member in reply.members}
         for member in self.hub.membership.all_members():
             if member.name not in listed and member.state is not MemberState.DEAD:
-                self.news.setdefault(name, {})[member.name] = None
-                self.has_news.set()
+                self.pending_updates.setdefault(name, {})[member.name] = None
+                self.has_updates.set()
 
     async def receive_ask_members(
         self, link: PeerLink, message: AskMembers
     ) -> Message | None:
-        """Answer with the whole table."""
+        """Reply with the whole table."""
         return MembersReply(self.hub.membership.all_members())
--- a/ebonyrack/peers/link.py
+++ b/ebonyrack/peers/link.py
@@ -1,4 +1,4 @@
-"""A link between two processes: requests, their replies and one-way messages."""
+"""A link between two processes: requests, replies and one-way messages."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from ebonyrack.core.tasks import end_tasks
 from ebonyrack.peers.frames import FrameStream
 from ebonyrack.peers.frames import Traffic
-from ebonyrack.peers.handshake import shake_hands
+from ebonyrack.peers.handshake import perform_handshake
 from ebonyrack.peers.link_messages import Failure
 from ebonyrack.peers.link_messages import Hello
 from ebonyrack.peers.member import Member
@@ -23,11 +23,11 @@
 from ebonyrack.peers.message import Message
 
 HANDSHAKE_TIMEOUT_S = 2.0
-MAXIMUM_REQUESTS = 64
+MAXIMUM_CONCURRENT_REQUESTS = 64
 
 
 class PeerLostError(Exception):
-    """A peer that can't be reached, or a link that broke.
+    """Raised when a peer can't be reached or its link breaks.
 
     Attributes:
         reason: What happened.
@@ -44,18 +44,18 @@
 class PeerLink(FrameStream, Component):
     """A link to another process: an async context manager with one read task.
 
-    It ends when either side closes it, sends what is no valid frame, or doesn't
-    take what is queued for it.
+    It ends when either side closes it, sends an invalid frame, or doesn't read what
+    is queued for it.
 
     Attributes:
-        hello: What this side says of itself.
+        hello: Hello message of this side.
         is_dialler: Whether this side opened the connection.
         secret: Secret that all processes share.
-        handler: Called for each message that is no reply.
-        remote: What the other side said of itself.
-        operator: Name of the operator that proved its identity, or empty.
-        opened_at_s: Time of the connection.
-        is_unlinked: Whether either side closes it only for needing it no more.
+        handler: Called for each message that is not a reply.
+        remote: Hello message of the other side, None before the handshake.
+        operator: Name of the authenticated operator, or empty.
+        opened_at_s: Time at which the connection was opened.
+        is_unlinked: Whether it is closed only because a side no longer needs it.
         is_closed: Set when the link has ended.
     """
 
@@ -70,9 +70,9 @@
         "is_unlinked",
         "is_closed",
         "correlations",
-        "replies",
-        "requests",
-        "request_places",
+        "pending_replies",
+        "request_tasks",
+        "request_slots",
         "read_task",
     )
 
@@ -97,20 +97,20 @@
         self.is_unlinked = False
         self.is_closed = asyncio.Event()
         self.correlations = itertools.count(1)
-        self.replies: dict[int, asyncio.Future[Message]] = {}
-        self.requests: set[asyncio.Task[None]] = set()
-        self.request_places = asyncio.Semaphore(MAXIMUM_REQUESTS)
+        self.pending_replies: dict[int, asyncio.Future[Message]] = {}
+        self.request_tasks: set[asyncio.Task[None]] = set()
+        self.request_slots = asyncio.Semaphore(MAXIMUM_CONCURRENT_REQUESTS)
         self.read_task: asyncio.Task[None] | None = None
 
     async def start(self) -> None:
-        """Shake hands and start to read.
+        """Perform the handshake and start to read.
 
         Raises:
-            PeerLostError: If the other side is no peer, or not in time.
+            PeerLostError: If the handshake fails or times out.
         """
         try:
             async with asyncio.timeout(HANDSHAKE_TIMEOUT_S):
-                self.remote = await shake_hands(
+                self.remote = await perform_handshake(
                     self, self.hello, self.is_dialler, self.secret
                 )
         except (OSError, TimeoutError, BadMessageError) as error:
@@ -124,11 +124,11 @@
     async def stop(self) -> None:
         """Close the link and end its tasks."""
         self.close()
-        await end_tasks([self.read_task, *self.requests])
+        await end_tasks([self.read_task, *self.request_tasks])
 
     @property
     def member(self) -> Member:
-        """The other side's own description."""
+        """The other side's description of itself."""
         if self.remote is None:
             raise PeerLostError("the link is not open")
         return self.remote.member
@@ -149,23 +149,23 @@
             self.close()
 
     async def serve_frame(self, message: Message, correlation: int) -> None:
-        """Hand one message to whoever waits for it."""
+        """Pass a reply to its request, or handle another message in a task."""
         if correlation < 0:
-            waiting = self.replies.pop(-correlation, None)
-            if waiting is not None and not waiting.done():
-                waiting.set_result(message)
+            future = self.pending_replies.pop(-correlation, None)
+            if future is not None and not future.done():
+                future.set_result(message)
             return
-        await self.request_places.acquire()
-        task = asyncio.create_task(self.answer(message, correlation))
-        self.requests.add(task)
-        task.add_done_callback(self.forget_request)
+        await self.request_slots.acquire()
+        task = asyncio.create_task(self.handle_message(message, correlation))
+        self.request_tasks.add(task)
+        task.add_done_callback(self.release_request_slot)
 
-    def forget_request(self, task: asyncio.Task[None]) -> None:
-        """Free the place of a request that has been served."""
-        self.requests.discard(task)
-        self.request_places.release()
+    def release_request_slot(self, task: asyncio.Task[None]) -> None:
+        """Release the slot of a request that has been served."""
+        self.request_tasks.discard(task)
+        self.request_slots.release()
 
-    async def answer(self, message: Message, correlation: int) -> None:
+    async def handle_message(self, message: Message, correlation: int) -> None:
         """Run the handler for one message and send its reply."""
         try:
             reply = await self.handler(self, message)
@@ -200,27 +200,27 @@
             The reply.
 
         Raises:
-            PeerLostError: If the link ends, the time is over or the peer failed.
+            PeerLostError: If the link ends, the reply is late or reports a failure.
         """
         if self.is_closed.is_set():
             raise PeerLostError("the link is closed")
         correlation = next(self.correlations)
-        waiting = asyncio.get_running_loop().create_future()
-        self.replies[correlation] = waiting
+        future = asyncio.get_running_loop().create_future()
+        self.pending_replies[correlation] = future
         self.send(message, correlation)
         try:
             async with asyncio.timeout(timeout_s):
-                reply: Message = await waiting
+                reply: Message = await future
         except TimeoutError:
             raise PeerLostError(f"no reply within {timeout_s} s") from None
         finally:
-            self.replies.pop(correlation, None)
+            self.pending_replies.pop(correlation, None)
         if isinstance(reply, Failure):
             raise PeerLostError(reply.reason)
         return reply
 
     async def flush(self) -> None:
-        """Wait until what is queued has left, or the link ended."""
+        """Wait until all that is queued is sent or the link ends."""
         self.writer.transport.set_write_buffer_limits(high=0)
         try:
             await self.writer.drain()
@@ -228,34 +228,34 @@
             self.close()
 
     def close(self) -> None:
-        """Close the stream and fail whoever waits for a reply."""
+        """Close the stream and fail the requests that wait for a reply."""
         self.is_closed.set()
         self.close_stream()
-        for waiting in self.replies.values():
-            if not waiting.done():
-                waiting.set_exception(PeerLostError("the link ended"))
-        self.replies.clear()
+        for future in self.pending_replies.values():
+            if not future.done():
+                future.set_exception(PeerLostError("the link ended"))
+        self.pending_replies.clear()
 
 
-async def refuse_message(link: PeerLink, message: Message) -> Message | None:
-    """Answer whatever arrives on a link that only asks."""
-    return Failure("this side answers nothing")
+async def reject_message(link: PeerLink, message: Message) -> Message | None:
+    """Reject any message that arrives on a link that only sends requests."""
+    return Failure("this side accepts no messages")
 
 
 async def dial(
     address: Address,
     hello: Hello,
     secret: str,
-    handler: Handler = refuse_message,
+    handler: Handler = reject_message,
     traffic: Traffic | None = None,
 ) -> PeerLink:
     """Open a connection; the link is not yet entered.
 
     Args:
         address: Where the other side listens.
-        hello: What this side says of itself.
+        hello: Hello message of this side.
         secret: Secret that all processes share.
-        handler: Called for each message that is no reply.
+        handler: Called for each message that is not a reply.
         traffic: Counters to use.
 
     Returns:
--- a/ebonyrack/peers/link_messages.py
+++ b/ebonyrack/peers/link_messages.py
@@ -1,4 +1,4 @@
-"""Messages that a link itself uses, and the one that carries others."""
+"""Messages of the link protocol itself, and the one that carries others."""
 
 from __future__ import annotations
 
@@ -15,8 +15,8 @@
 
     Attributes:
         version: Protocol version.
-        role: `proxy` or `operator`.
-        member: Who the sender is; an operator sends a member of its own name.
+        role: `proxy`, `query` or `operator`.
+        member: Description of the sender; an operator sends one with its own name.
         nonce: Challenge that the other side's proof must answer.
     """
 
@@ -42,7 +42,7 @@
 
 @register_message(16)
 class Flood(Message):
-    """A broadcast that receivers pass on when not all members are linked.
+    """A broadcast that receivers relay when not all members are linked.
 
     Attributes:
         identity: Random number by which a repeat is recognised.
@@ -57,4 +57,4 @@
 
 @register_message(17)
 class Unlink(Message):
-    """The sender closes this link since it needs it no more; it goes on itself."""
+    """The sender closes this link because it no longer needs it, but keeps running."""
--- a/ebonyrack/peers/member.py
+++ b/ebonyrack/peers/member.py
@@ -1,4 +1,4 @@
-"""A proxy as its peers know it."""
+"""Description of a proxy that its peers exchange."""
 
 from __future__ import annotations
 
@@ -27,14 +27,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Member(Message):
-    """A proxy as its peers know it.
+    """A proxy as described to its peers.
 
     Attributes:
         name: Name from its settings.
         address: Its peer address.
         data_centre: Its data centre.
         region: Its region.
-        incarnation: Number that only the member itself raises.
+        incarnation: Number that only the member itself increases.
         state: State in that incarnation.
     """
 
@@ -50,16 +50,16 @@
 
 
 def is_live(member: Member) -> bool:
-    """Tell whether a member takes work; a suspect one does until it is dead."""
+    """Return whether a member takes work; a suspect one does until it is dead."""
     return member.state in (MemberState.ALIVE, MemberState.SUSPECT)
 
 
 def hash_member(member: Member) -> int:
-    """Hash what peers compare of a member; 0 for a dead one.
+    """Hash the parts of a member that peers compare; 0 for a dead one.
 
-    The hashes of alike texts must not cancel each other out. Those of a cyclic
-    redundancy check would: it is linear, so four proxies whose names differ in
-    one digit and that started together can add up to nothing.
+    The hashes of similar texts must not cancel each other out when combined by
+    XOR. Those of a cyclic redundancy check would: it is linear, so four proxies
+    whose names differ in one digit and that started together can combine to 0.
     """
     if member.state is MemberState.DEAD:
         return 0
@@ -70,7 +70,7 @@
 
 
 def is_newer(offered: Member, known: Member) -> bool:
-    """Tell whether a description overrides another of the same member."""
+    """Return whether a description overrides another of the same member."""
     if offered.incarnation != known.incarnation:
         return offered.incarnation > known.incarnation
     return offered.state > known.state
--- a/ebonyrack/peers/member_messages.py
+++ b/ebonyrack/peers/member_messages.py
@@ -9,12 +9,12 @@
 
 @register_message(10)
 class Heartbeat(Message):
-    """Sign of life with piggybacked news.
+    """Heartbeat with piggybacked membership updates.
 
     Attributes:
         incarnation: The sender's incarnation.
         revision: Highest revision of the document that the sender runs.
-        digest: Hash of the members that the sender does not hold for dead.
+        digest: Hash of the members that the sender does not consider dead.
         interval_ms: Milliseconds until the sender's next heartbeat.
         news: Changes of members that the receiver may not know.
     """
@@ -40,20 +40,20 @@
 
 @register_message(13)
 class AskReach(Message):
-    """Question whether a member answers the receiver; it says yes for itself."""
+    """Request to probe a member; a receiver that is the member itself replies yes."""
 
     name: str
 
 
 @register_message(14)
 class ReachReply(Message):
-    """Answer to `AskReach`."""
+    """Reply to `AskReach`."""
 
     is_reachable: bool
 
 
 @register_message(15)
 class Leaving(Message):
-    """A proxy that shuts down; it takes no new work from now on."""
+    """Announcement of a proxy that shuts down and takes no new work from now on."""
 
     member: MemberField
--- a/ebonyrack/peers/membership.py
+++ b/ebonyrack/peers/membership.py
@@ -1,4 +1,4 @@
-"""The table of proxies: who is alive, suspect, leaving or dead."""
+"""The membership table: which proxies are alive, leaving, suspect or dead."""
 
 from __future__ import annotations
 
@@ -19,21 +19,21 @@
 from ebonyrack.peers.member import is_live
 from ebonyrack.peers.member import is_newer
 
-FORGET_DEAD_AFTER_S = 7200.0
+REMOVE_DEAD_AFTER_S = 7200.0
 MAXIMUM_MEMBERS = 2000
 
 STATES = [state.name for state in MemberState]
 TRANSITIONS: list[Any] = [
-    ["find_alive", "*", "ALIVE"],
-    ["find_leaving", "*", "LEAVING"],
-    ["find_suspect", ["ALIVE", "SUSPECT"], "SUSPECT"],
-    ["find_dead", "*", "DEAD"],
+    ["become_alive", "*", "ALIVE"],
+    ["become_leaving", "*", "LEAVING"],
+    ["become_suspect", ["ALIVE", "SUSPECT"], "SUSPECT"],
+    ["become_dead", "*", "DEAD"],
 ]
 TRIGGERS = {
-    MemberState.ALIVE: "find_alive",
-    MemberState.LEAVING: "find_leaving",
-    MemberState.SUSPECT: "find_suspect",
-    MemberState.DEAD: "find_dead",
+    MemberState.ALIVE: "become_alive",
+    MemberState.LEAVING: "become_leaving",
+    MemberState.SUSPECT: "become_suspect",
+    MemberState.DEAD: "become_dead",
 }
 
 
@@ -43,16 +43,16 @@
     Attributes:
         member: The newest description that is known.
         changed_at_s: Time of the last change of state.
-        heard_at_s: Time of the last direct sign of life, or None.
-        interval_s: Seconds between the member's heartbeats, as it says.
-        state: Name of the state, kept by the life cycle.
-        digest: Hash of what peers compare of the member.
+        last_contact_at_s: Time of the last direct contact, or None.
+        interval_s: Seconds between the member's heartbeats, as announced by it.
+        state: Name of the state, set by the state machine.
+        digest: Hash of the parts of the member that peers compare.
     """
 
     __slots__ = (
         "member",
         "changed_at_s",
-        "heard_at_s",
+        "last_contact_at_s",
         "interval_s",
         "state",
         "digest",
@@ -62,7 +62,7 @@
     def __init__(self, member: Member) -> None:
         self.member = member
         self.changed_at_s = now_s()
-        self.heard_at_s: float | None = None
+        self.last_contact_at_s: float | None = None
         self.interval_s = 0.0
         self.state = member.state.name
         self.digest = hash_member(member)
@@ -72,10 +72,10 @@
 
 
 class Membership:
-    """What this proxy knows of itself and the others.
+    """Table of this proxy and the others that it knows.
 
     Attributes:
-        local: This proxy's own description.
+        local: Description of this proxy.
         entries: The other proxies by name.
         live_count: Number of proxies that take work, this one included.
         callbacks: Called with a member after each change of its description.
@@ -92,8 +92,8 @@
     )
 
     def __init__(self, settings: ProxySettings, address: Address) -> None:
-        # Wall-clock time only makes a higher first number likely; a member that
-        # still starts too low learns it from its peers and raises its own.
+        # Wall-clock time only makes a higher first incarnation likely; a member
+        # that still starts too low learns it from its peers and increases its own.
         self.local = Member(
             name=settings.name,
             address=address,
@@ -116,12 +116,12 @@
         self.cached_live: tuple[Member, ...] | None = None
 
     def set_address(self, address: Address) -> None:
-        """Note where this proxy listens, once that is known."""
+        """Set the address at which this proxy listens, once it is known."""
         self.local = replace(self.local, address=address)
         self.cached_live = None
 
     def subscribe(self, callback: Callback) -> None:
-        """Call a function with a member after each change of it."""
+        """Register a function to call with a member after each change of it."""
         self.callbacks.append(callback)
 
     def live_members(self) -> tuple[Member, ...]:
@@ -148,7 +148,7 @@
         return tuple(sorted([self.local, *members], key=get_name))
 
     def find(self, name: str) -> Member | None:
-        """Return the member of a name, or None."""
+        """Return the member with a name, or None."""
         if name == self.local.name:
             return self.local
         entry = self.entries.get(name)
@@ -156,26 +156,26 @@
 
     @property
     def digest(self) -> int:
-        """Hash of all members but the dead ones, the same in whatever order."""
+        """Hash of all members but the dead ones, independent of their order."""
         if self.cached_digest is None:
             self.cached_digest = self.compute_digest()
         return self.cached_digest
 
     def compute_digest(self) -> int:
-        """Hash the members; a suspicion isn't part of it, since it passes."""
+        """Hash the members; suspicion is left out because it is temporary."""
         total = hash_member(self.local)
         for entry in self.entries.values():
             total ^= entry.digest
         return total
 
     def merge(self, offered: Member) -> bool:
-        """Take in what somebody says about a member.
+        """Merge a received description of a member into the table.
 
         Args:
             offered: The description.
 
         Returns:
-            Whether it was news.
+            Whether it changed the table.
         """
         if offered.name == self.local.name:
             return self.refute(offered)
@@ -184,11 +184,11 @@
             return self.add_entry(offered)
         if not is_newer(offered, entry.member):
             return False
-        self.change_entry(entry, offered)
+        self.update_entry(entry, offered)
         return True
 
     def add_entry(self, member: Member) -> bool:
-        """Start to know a member."""
+        """Add a member to the table."""
         if len(self.entries) >= MAXIMUM_MEMBERS:
             logger.bind(peer=member.name).error("too_many_members")
             return False
@@ -196,42 +196,42 @@
         self.machine.add_model(entry, initial=member.state.name)
         self.entries[member.name] = entry
         self.live_count += is_live(member)
-        self.report(member)
+        self.notify_subscribers(member)
         return True
 
-    def change_entry(self, entry: MemberEntry, member: Member) -> None:
-        """Move an entry to a newer description."""
+    def update_entry(self, entry: MemberEntry, member: Member) -> None:
+        """Update an entry to a newer description."""
         model: Any = entry
         if member.incarnation > entry.member.incarnation:
-            # A new incarnation starts its own life cycle.
-            model.find_alive()
+            # A new incarnation starts a new life cycle.
+            model.become_alive()
         getattr(model, TRIGGERS[member.state])()
         self.live_count += is_live(member) - is_live(entry.member)
         entry.member = member
         entry.digest = hash_member(member)
         entry.changed_at_s = now_s()
-        self.report(member)
+        self.notify_subscribers(member)
 
     def refute(self, offered: Member) -> bool:
-        """Raise this proxy's own incarnation if others hold something else of it.
+        """Increase the local incarnation if another's view of this proxy differs.
 
         Args:
-            offered: What another holds of this proxy.
+            offered: Another proxy's description of this one.
 
         Returns:
-            Whether the own description changed.
+            Whether the local description changed.
         """
         if offered == self.local or offered.incarnation < self.local.incarnation:
             return False
         self.local = replace(self.local, incarnation=offered.incarnation + 1)
-        self.report(self.local)
+        self.notify_subscribers(self.local)
         return True
 
-    def leave(self) -> Member:
+    def mark_leaving(self) -> Member:
         """Mark this proxy as leaving.
 
         Returns:
-            The own description, for the peers.
+            The local description, for the peers.
         """
         if self.local.state is not MemberState.LEAVING:
             self.local = replace(
@@ -240,56 +240,56 @@
                 state=MemberState.LEAVING,
             )
             self.live_count -= 1
-            self.report(self.local)
+            self.notify_subscribers(self.local)
         return self.local
 
-    def suspect(self, name: str) -> None:
-        """Note that a member answers neither this proxy nor those asked."""
+    def mark_suspect(self, name: str) -> None:
+        """Mark a member as suspect that neither this proxy nor its peers reach."""
         entry = self.entries[name]
         if entry.member.state is MemberState.ALIVE:
             self.merge(replace(entry.member, state=MemberState.SUSPECT))
 
     def declare_dead(self, name: str) -> None:
-        """Note that a member has been silent for too long."""
+        """Mark a member as dead that has been silent for too long."""
         self.merge(replace(self.entries[name].member, state=MemberState.DEAD))
 
-    def forget_dead(self) -> None:
-        """Drop members that have been dead for long."""
-        limit_s = now_s() - FORGET_DEAD_AFTER_S
+    def remove_dead(self) -> None:
+        """Remove members that have been dead for a long time."""
+        limit_s = now_s() - REMOVE_DEAD_AFTER_S
         for name, entry in list(self.entries.items()):
             if entry.member.state is MemberState.DEAD and entry.changed_at_s < limit_s:
                 self.machine.remove_model(entry)
                 del self.entries[name]
 
-    def note_heard(self, name: str, interval_s: float | None = None) -> None:
-        """Note a direct sign of life of a member.
+    def record_contact(self, name: str, interval_s: float | None = None) -> None:
+        """Record direct contact with a member.
 
         Args:
             name: Its name.
-            interval_s: Seconds to its next heartbeat, if it said so.
+            interval_s: Seconds to its next heartbeat, if it announced them.
         """
         entry = self.entries.get(name)
         if entry is None:
             return
-        entry.heard_at_s = now_s()
+        entry.last_contact_at_s = now_s()
         if interval_s is not None:
             entry.interval_s = interval_s
 
-    def stop_listening(self, name: str) -> None:
-        """Expect no more signs of life of a member; its neighbours watch it."""
+    def stop_monitoring(self, name: str) -> None:
+        """Expect no more heartbeats of a member; its neighbours monitor it."""
         entry = self.entries.get(name)
         if entry is not None:
-            entry.heard_at_s = None
+            entry.last_contact_at_s = None
 
-    def forgive_silence(self) -> None:
-        """Start all waits for signs of life again, after a pause of this process."""
+    def restart_silence_timers(self) -> None:
+        """Restart the measurement of silence after a pause of this process."""
         for entry in self.entries.values():
-            if entry.heard_at_s is not None:
-                entry.heard_at_s = now_s()
+            if entry.last_contact_at_s is not None:
+                entry.last_contact_at_s = now_s()
             entry.changed_at_s = max(entry.changed_at_s, now_s())
 
-    def report(self, member: Member) -> None:
-        """Log a change and tell the subscribers."""
+    def notify_subscribers(self, member: Member) -> None:
+        """Log a change and notify the subscribers."""
         self.cached_digest = None
         self.cached_live = None
         logger.bind(
@@ -302,5 +302,5 @@
 
 
 def get_name(member: Member) -> str:
-    """Return a member's name, to sort by."""
+    """Return a member's name, as a sort key."""
     return member.name
--- a/ebonyrack/peers/message.py
+++ b/ebonyrack/peers/message.py
@@ -1,7 +1,7 @@
-"""What a message between processes is, and the table of its types and codes.
+"""Base class of the messages between processes, and the registry of their codes.
 
-A new message is one class in a module `*_messages.py`, with a code that no other has;
-codec_test.py holds the code and the fields, which then stay.
+A new message is one class in a module `*_messages.py`, with a unique code;
+codec_test.py pins the code and the fields, which must not change afterwards.
 """
 
 from __future__ import annotations
@@ -20,11 +20,11 @@
 
 
 class BadMessageError(Exception):
-    """Bytes from a peer that are no valid message."""
+    """Raised for bytes from a peer that are not a valid message."""
 
 
 class Message:
-    """Base of all records that travel on a link."""
+    """Base of all records that are sent on a link."""
 
     __slots__ = ()
     __pydantic_config__: ClassVar[ConfigDict] = ConfigDict(arbitrary_types_allowed=True)
@@ -66,5 +66,5 @@
 
 
 def read_fields(value: object) -> object:
-    """Let pydantic read a nested record from the array of its fields."""
+    """Wrap the array of a nested record's fields for validation by pydantic."""
     return ArgsKwargs(tuple(value)) if isinstance(value, list) else value
--- a/ebonyrack/peers/operator_messages.py
+++ b/ebonyrack/peers/operator_messages.py
@@ -12,7 +12,7 @@
 
 @register_message(40)
 class StatusRequest(Message):
-    """An operator's question for the state of a proxy.
+    """An operator's request for the state of a proxy.
 
     Attributes:
         include_sessions: Whether callers' sessions are listed too.
@@ -28,7 +28,7 @@
     Attributes:
         proxy: Its name.
         revision: Revision of the document that it runs.
-        is_cut_off: Whether it takes no new work for being cut off.
+        is_cut_off: Whether it takes no new work because it is cut off.
         members: Members that it knows.
         groups: Group name to what the proxy knows of the group.
         sessions: One entry for each caller's session, if asked for.
@@ -49,7 +49,7 @@
 
 @register_message(43)
 class SwitchoverRequest(Message):
-    """An operator's order to move a group's primary; any replica if `to` is empty."""
+    """An operator's order to move a primary to a replica; any if `to` is empty."""
 
     group: str
     to: str = ""
--- a/ebonyrack/peers/primary_messages.py
+++ b/ebonyrack/peers/primary_messages.py
@@ -8,7 +8,7 @@
 
 @register_message(20)
 class PrimarySeen(Message):
-    """News of a group's primary."""
+    """Announcement of a group's primary."""
 
     group: str
     term: int
@@ -17,7 +17,7 @@
 
 @register_message(21)
 class AskPrimary(Message):
-    """Pre-vote: whether the receiver reaches the group's primary."""
+    """Pre-vote request: whether the receiver reaches the group's primary."""
 
     group: str
     primary_name: str
@@ -26,7 +26,7 @@
 
 @register_message(22)
 class PrimaryOpinion(Message):
-    """Answer to `AskPrimary`: what the sender sees itself."""
+    """Reply to `AskPrimary` with the sender's own view."""
 
     reachable: bool
     term: int
@@ -35,12 +35,12 @@
 
 @register_message(23)
 class HoldWrites(Message):
-    """Request to let new writes of a group wait while its primary is moved.
+    """Request to hold new writes of a group while its primary is moved.
 
     Attributes:
         group: Name of the group.
         term: Term of the primary that is to be replaced.
-        hold_ms: Milliseconds for which they wait at most; 0 lets them go on.
+        hold_ms: Milliseconds for which they are held at most; 0 releases them.
     """
 
     group: str
@@ -50,6 +50,6 @@
 
 @register_message(24)
 class WritesHeld(Message):
-    """Answer to `HoldWrites`: whether no transaction is open on the primary."""
+    """Reply to `HoldWrites`: whether no transaction is open on the primary."""
 
     is_drained: bool
--- a/ebonyrack/peers/shares_test.py
+++ b/ebonyrack/peers/shares_test.py
@@ -25,21 +25,21 @@
     return made
 
 
-def lose(shares, membership, number, age_s=0.0):
+def declare_lost(shares, membership, number, age_s=0.0):
     membership.declare_dead(f"peer-{number}")
     shares.lost_at_s[f"peer-{number}"] -= age_s
 
 
-async def test_a_lost_proxy_counts_a_little_longer(membership):
+async def test_lost_proxy_counts_until_its_share_is_released(membership):
     async with ShareCount(membership) as shares:
         assert shares.count() == 5
-        lose(shares, membership, 0)
+        declare_lost(shares, membership, 0)
         assert shares.count() == 5
-        shares.lost_at_s["peer-0"] -= shares_module.LINGER_S
+        shares.lost_at_s["peer-0"] -= shares_module.LOST_SHARE_HOLD_S
         assert shares.count() == 4
 
 
-async def test_a_leaving_proxy_counts_no_more(membership):
+async def test_leaving_proxy_is_not_counted(membership):
     async with ShareCount(membership) as shares:
         leaving = replace(build_member(0, MemberState.LEAVING), incarnation=2)
         membership.merge(leaving)
@@ -48,27 +48,29 @@
         assert shares.count() == 4
 
 
-async def test_a_proxy_that_lost_most_others_leaves_them_half(membership):
+async def test_proxy_that_lost_most_others_leaves_half_of_the_shares(membership):
     async with ShareCount(membership) as shares:
         for number in range(4):
-            lose(shares, membership, number, age_s=shares_module.LINGER_S)
+            declare_lost(
+                shares, membership, number, age_s=shares_module.LOST_SHARE_HOLD_S
+            )
         assert len(membership.live_members()) == 1
         assert shares.count() == 3
         for name in shares.lost_at_s:
-            shares.lost_at_s[name] -= shares_module.REMEMBER_LOST_S
+            shares.lost_at_s[name] -= shares_module.LOST_PROXY_RETENTION_S
         assert shares.count() == 1
 
 
-async def test_a_proxy_that_returns_counts_again(membership):
+async def test_returning_proxy_is_counted_again(membership):
     async with ShareCount(membership) as shares:
-        lose(shares, membership, 0, age_s=shares_module.LINGER_S)
+        declare_lost(shares, membership, 0, age_s=shares_module.LOST_SHARE_HOLD_S)
         membership.merge(replace(build_member(0), incarnation=2))
         assert shares.count() == 5
         assert shares.lost_at_s == {}
 
 
-async def test_a_free_share_is_reported(membership, monkeypatch):
-    monkeypatch.setattr(shares_module, "LINGER_S", 0.01)
+async def test_released_share_is_reported(membership, monkeypatch):
+    monkeypatch.setattr(shares_module, "LOST_SHARE_HOLD_S", 0.01)
     reported = []
     async with ShareCount(membership) as shares:
         shares.subscribe(lambda: reported.append(shares.count()))
