--- a/ebonyrack/config/edit_handler.py
+++ b/ebonyrack/config/edit_handler.py
@@ -57,10 +57,10 @@
         self.hub = hub
         self.edit_slots = asyncio.Semaphore(MAXIMUM_CONCURRENT_EDITS)
         self.authentication = OperatorAuthentication(state, hub)
-        hub.register_handler(EditRequest, self.handle_edit_request)
-        hub.register_handler(AskRevisions, self.handle_revisions_request)
+        hub.register_handler(EditRequest, self.receive_edit_request)
+        hub.register_handler(AskRevisions, self.receive_revisions_request)
 
-    async def handle_edit_request(
+    async def receive_edit_request(
         self, link: PeerLink, message: EditRequest
     ) -> Message:
         """Attempt an operator's edit and reply with its outcome."""
@@ -82,7 +82,7 @@
         log_outcome(edit, outcome)
         return build_reply(outcome)
 
-    async def handle_revisions_request(
+    async def receive_revisions_request(
         self, link: PeerLink, message: AskRevisions
     ) -> RevisionsReply:
         """Query all live proxies for the revision that they run."""
--- a/ebonyrack/config/sections.py
+++ b/ebonyrack/config/sections.py
@@ -39,7 +39,7 @@
         The upstream.
 
     Raises:
-        ValueError: If the word has another form.
+        ValueError: If the word does not have this form.
     """
     name, equals, location = word.partition("=")
     address, at, data_centre = location.rpartition("@")
--- a/ebonyrack/peers/failure_detector.py
+++ b/ebonyrack/peers/failure_detector.py
@@ -37,7 +37,7 @@
         self.hub = hub
         self.checks: dict[str, asyncio.Task[None]] = {}
         self.lateness_s = 0.0
-        hub.register_handler(AskReach, self.receive_ask_reach)
+        hub.register_handler(AskReach, self.receive_reach_request)
 
     def record_lateness(self, lateness_s: float) -> None:
         """Record how late this process serves its own timers."""
@@ -138,7 +138,7 @@
             return False
         return isinstance(reply, ReachReply) and reply.is_reachable
 
-    async def receive_ask_reach(
+    async def receive_reach_request(
         self, link: PeerLink, message: AskReach
     ) -> Message | None:
         """Reply whether this proxy reaches a member that another doesn't reach."""
--- a/ebonyrack/peers/flood.py
+++ b/ebonyrack/peers/flood.py
@@ -42,7 +42,7 @@
         """Send a one-way message to all proxies.
 
         Args:
-            message: The message; peers relay it if the links are no full mesh.
+            message: The message; peers relay it unless the links form a full mesh.
         """
         identity = secrets.randbits(IDENTITY_BITS)
         self.record_identity(identity)
--- a/ebonyrack/peers/heartbeat.py
+++ b/ebonyrack/peers/heartbeat.py
@@ -53,7 +53,7 @@
         self.task: asyncio.Task[None] | None = None
         self.pause_detector = PauseDetector(hub.settings.peers.suspect_after_s)
         hub.register_handler(Heartbeat, self.receive_heartbeat)
-        hub.register_handler(AskMembers, self.receive_ask_members)
+        hub.register_handler(AskMembers, self.receive_members_request)
 
     async def start(self) -> None:
         """Start to send heartbeats."""
@@ -101,7 +101,7 @@
             return
 
     def check_pause(self) -> None:
-        """After a pause of this process, don't count its silence against the peers."""
+        """After a pause of this process, restart the timers of silent peers."""
         pause_s = self.pause_detector.measure_pause()
         if pause_s:
             logger.bind(pause_s=round(pause_s, 3)).warning("process_was_paused")
@@ -165,7 +165,7 @@
             await self.sync(link)
 
     def queue_correction(self, name: str, offered: Member) -> None:
-        """Queue the known description of a member for a peer that sent another."""
+        """Queue the known description of a member if a peer sent a different one."""
         known = self.hub.membership.find(offered.name)
         if known is not None and known != offered:
             self.pending_updates.setdefault(name, {})[offered.name] = None
@@ -222,7 +222,7 @@
                 self.pending_updates.setdefault(name, {})[member.name] = None
                 self.has_updates.set()
 
-    async def receive_ask_members(
+    async def receive_members_request(
         self, link: PeerLink, message: AskMembers
     ) -> Message | None:
         """Reply with the whole table."""
--- a/ebonyrack/peers/hub.py
+++ b/ebonyrack/peers/hub.py
@@ -41,7 +41,7 @@
 
 
 class PeerHub(Component):
-    """The links to the other proxies: an async context manager.
+    """Manages the links to the other proxies: an async context manager.
 
     Attributes:
         settings: Settings of the process.
@@ -91,7 +91,7 @@
         await self.heartbeat.start()
 
     async def stop(self) -> None:
-        """End all links and tasks."""
+        """Close all links and stop all tasks."""
         self.is_closing = True
         await self.heartbeat.stop()
         await self.dialler.stop()
@@ -126,7 +126,7 @@
             message: The message.
 
         Returns:
-            The first handler's reply, or None if none replied.
+            The first reply, or None if no handler replied.
         """
         handlers = self.handlers.get(type(message))
         if handlers is None:
@@ -332,7 +332,7 @@
         """Send a one-way message to all proxies.
 
         Args:
-            message: The message; peers relay it if the links are no full mesh.
+            message: The message; peers relay it unless the links form a full mesh.
         """
         self.flood_relay.broadcast(message)
 
--- a/ebonyrack/peers/operator_messages.py
+++ b/ebonyrack/peers/operator_messages.py
@@ -31,7 +31,7 @@
         is_cut_off: Whether it takes no new work because it is cut off.
         members: Members that it knows.
         groups: Group name to what the proxy knows of the group.
-        sessions: One entry for each caller's session, if asked for.
+        sessions: One entry for each caller's session, if requested.
     """
 
     proxy: str
