--- a/ebonyrack/config/upstream_change.py
+++ b/ebonyrack/config/upstream_change.py
@@ -48,7 +48,7 @@
                 f" this changes {count}"
             )
         elif count == 1:
-            reasons.extend(find_recent_edit(name, history, current_time_s))
+            reasons.extend(check_recent_edits(name, history, current_time_s))
     return tuple(reasons)
 
 
@@ -62,10 +62,10 @@
     return len(old ^ new)
 
 
-def find_recent_edit(
+def check_recent_edits(
     name: str, history: Iterable[EditRecord], current_time_s: int
 ) -> list[str]:
-    """Find a recent edit of the same group that may not be in force everywhere yet.
+    """Refuse a change while a recent edit of the group may not be in force everywhere.
 
     Args:
         name: Name of the group.
--- a/ebonyrack/peers/dialler.py
+++ b/ebonyrack/peers/dialler.py
@@ -93,7 +93,7 @@
         self.wake()
 
     def wake(self) -> None:
-        """Re-evaluate which peers to dial."""
+        """Wake the dialling task to re-evaluate which peers to dial."""
         self.wake_event.set()
 
     def reset_backoff(self, address: Address) -> None:
