--- a/ebonyrack/callers/answers.py
+++ b/ebonyrack/callers/answers.py
@@ -32,7 +32,7 @@
 EMPTY_QUERY_FRAME = EmptyQueryResponse().to_wire()
 
 
-def build_ready(status: str) -> bytes:
+def build_ready_for_query(status: str) -> bytes:
     """Build a ReadyForQuery.
 
     Args:
@@ -44,7 +44,7 @@
     return READY_FRAMES[status]
 
 
-def build_error(error: RequestError) -> bytes:
+def build_error_response(error: RequestError) -> bytes:
     """Build the ErrorResponse for an error of the closed list.
 
     Args:
@@ -56,7 +56,7 @@
     return ErrorResponse(fields=build_error_fields(error)).to_wire()
 
 
-def build_complete(tag: str) -> bytes:
+def build_command_complete(tag: str) -> bytes:
     """Build a CommandComplete.
 
     Args:
@@ -80,7 +80,7 @@
     return Query(query_string=sql).to_wire()
 
 
-def build_parameter(name: str, value: str) -> bytes:
+def build_parameter_status(name: str, value: str) -> bytes:
     """Build a ParameterStatus.
 
     Args:
@@ -123,7 +123,7 @@
     return DataRow(columns=[value.encode() for value in values]).to_wire()
 
 
-def read_sqlstate(raw: bytes) -> str:
+def extract_sqlstate(raw: bytes) -> str:
     """Find the SQLSTATE in an ErrorResponse frame.
 
     Args:
--- a/ebonyrack/callers/bytes_test.py
+++ b/ebonyrack/callers/bytes_test.py
@@ -19,7 +19,7 @@
 from ebonyrack.callers.conftest import bind
 from ebonyrack.callers.conftest import describe
 from ebonyrack.callers.conftest import execute
-from ebonyrack.callers.conftest import kinds
+from ebonyrack.callers.conftest import join_kinds
 from ebonyrack.callers.conftest import open_proxy
 from ebonyrack.callers.conftest import parse
 from ebonyrack.callers.conftest import wait_until
@@ -115,7 +115,7 @@
     for upstream in proxy.group.upstreams.values():
         assert not upstream.pool.busy
     caller = await proxy.start_wire()
-    assert kinds(await caller.query("SELECT 1")) == "TDCZ"
+    assert join_kinds(await caller.query("SELECT 1")) == "TDCZ"
 
 
 @pytest.mark.parametrize("length", [0, 3, 4097, 2**31, 2**32 - 1])
@@ -130,11 +130,11 @@
     caller = await proxy.start_wire()
     value = b"x" * 200_000
     body = struct.pack("!hhI", 0, 1, len(value)) + value + struct.pack("!h", 0)
-    frames = await caller.ask(
+    frames = await caller.send_and_read(
         parse(b"", b"SELECT $1::text"),
         build_frame(b"B", b"\x00\x00" + body),
         execute(),
         SYNC,
     )
-    assert kinds(frames) == "12DCZ"
+    assert join_kinds(frames) == "12DCZ"
     assert frames[2][1].endswith(value)
--- a/ebonyrack/callers/chunk.py
+++ b/ebonyrack/callers/chunk.py
@@ -18,7 +18,7 @@
 from ebonyrack.callers.exchange import Completion
 from ebonyrack.callers.exchange import Exchange
 from ebonyrack.callers.exchange import Step
-from ebonyrack.callers.prepared import read_result_formats
+from ebonyrack.callers.prepared import decode_result_formats
 from ebonyrack.callers.statement import Statement
 from ebonyrack.callers.statement import StatementKind
 
@@ -88,7 +88,7 @@
     def is_local(self) -> bool:
         """Whether the proxy can answer all of it without an upstream."""
         return all(
-            item.message.kind == b"C" and item.message.is_about_statement
+            item.message.kind == b"C" and item.message.targets_statement
             for item in self.items
         )
 
@@ -126,7 +126,7 @@
             if message.kind == b"E":
                 digest.update(message.rest)
             if message.kind == b"B" and item.prepared is not None:
-                digest.update(read_result_formats(message.rest))
+                digest.update(decode_result_formats(message.rest))
                 digest.update(item.prepared.text.encode() + b"\x00")
         return digest.digest()
 
--- a/ebonyrack/callers/chunk_renderer.py
+++ b/ebonyrack/callers/chunk_renderer.py
@@ -63,7 +63,7 @@
         if message.kind == b"P":
             self.add_parse(item)
             return
-        if message.kind == b"C" and message.is_about_statement:
+        if message.kind == b"C" and message.targets_statement:
             self.steps.append(Step(Completion.LOCAL, CLOSE_COMPLETE))
             return
         frame = message.raw
@@ -72,7 +72,7 @@
             self.ensure(prepared)
             names = message.portal + b"\x00" + prepared.upstream_name + b"\x00"
             frame = build_frame(b"B", names + message.rest)
-        elif prepared is not None and message.is_about_statement:
+        elif prepared is not None and message.targets_statement:
             self.ensure(prepared)
             frame = build_frame(b"D", b"S" + prepared.upstream_name + b"\x00")
         self.data += frame
--- a/ebonyrack/callers/chunk_replay.py
+++ b/ebonyrack/callers/chunk_replay.py
@@ -10,7 +10,7 @@
 from pygwire.messages import ParameterDescription
 from pygwire.messages import ParseComplete
 
-from ebonyrack.callers.answers import build_complete
+from ebonyrack.callers.answers import build_command_complete
 
 if TYPE_CHECKING:
     from collections import deque
@@ -46,8 +46,8 @@
     for item in items:
         kind = item.message.kind
         if kind == b"E":
-            answer += build_complete(tags.popleft() if tags else "")
-        elif kind == b"D" and item.message.is_about_statement:
+            answer += build_command_complete(tags.popleft() if tags else "")
+        elif kind == b"D" and item.message.targets_statement:
             answer += NO_PARAMETERS + NO_DATA
         else:
             answer += LOCAL_ANSWERS[kind]
--- a/ebonyrack/callers/conftest.py
+++ b/ebonyrack/callers/conftest.py
@@ -95,31 +95,31 @@
         async with asyncio.timeout(ANSWER_S):
             return await self.reader.read()
 
-    async def ask(self, *frames: bytes) -> list[Frame]:
+    async def send_and_read(self, *frames: bytes) -> list[Frame]:
         """Send frames and read up to ReadyForQuery."""
         self.send(*frames)
         return await self.read_until_ready()
 
     async def query(self, sql: str) -> list[Frame]:
         """Run a simple query."""
-        return await self.ask(Query(query_string=sql).to_wire())
+        return await self.send_and_read(Query(query_string=sql).to_wire())
 
     async def start(self, **params: str) -> list[Frame]:
         """Do the startup."""
         params = {"user": USER, "database": GROUP, **params}
-        return await self.ask(StartupMessage(params=params).to_wire())
+        return await self.send_and_read(StartupMessage(params=params).to_wire())
 
     def abort(self) -> None:
         """Break the connection off."""
         self.writer.transport.abort()
 
 
-def kinds(frames: list[Frame]) -> str:
+def join_kinds(frames: list[Frame]) -> str:
     """Return the kinds of frames as a word."""
     return b"".join(kind for kind, _ in frames).decode()
 
 
-def error_of(frames: list[Frame]) -> tuple[str, str]:
+def find_error(frames: list[Frame]) -> tuple[str, str]:
     """Return SQLSTATE and DETAIL of the one error among frames."""
     (payload,) = (payload for kind, payload in frames if kind == b"E")
     fields = {part[:1]: part[1:].decode() for part in payload.split(b"\x00") if part}
--- a/ebonyrack/callers/control_chunk.py
+++ b/ebonyrack/callers/control_chunk.py
@@ -72,14 +72,14 @@
     """
     message = item.message
     if message.kind == b"P":
-        store.define(message.statement, prepared)
+        store.add(message.statement, prepared)
     if message.kind != b"D":
         session.stream.write(LOCAL_ANSWERS[message.kind])
         return
     columns = NO_DATA
     if prepared.statement.kind is StatementKind.SHOW_VARIABLE:
         columns = build_text_columns((prepared.statement.variable,))
-    if message.is_about_statement:
+    if message.targets_statement:
         session.stream.write(NO_PARAMETERS)
     session.stream.write(columns)
 
--- a/ebonyrack/callers/dispatch.py
+++ b/ebonyrack/callers/dispatch.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING
 
 from ebonyrack.callers.answers import EMPTY_QUERY_FRAME
-from ebonyrack.callers.answers import build_complete
+from ebonyrack.callers.answers import build_command_complete
 from ebonyrack.callers.answers import build_text_columns
 from ebonyrack.callers.answers import build_text_row
 from ebonyrack.callers.reading import run_read
@@ -114,7 +114,7 @@
         raise RequestError(ErrorKind.UNSUPPORTED, statement.reason)
     if transaction.status == IDLE:
         transaction.begin(request.text, statement.read_only)
-    session.stream.write(build_complete("BEGIN"))
+    session.stream.write(build_command_complete("BEGIN"))
     return True
 
 
@@ -139,14 +139,14 @@
     variables = session.variables
     if statement.kind is StatementKind.SHOW_VARIABLE:
         value = variables.show(statement.variable)
-        return LocalAnswer(build_complete("SHOW"), statement.variable, value)
+        return LocalAnswer(build_command_complete("SHOW"), statement.variable, value)
     if statement.kind is StatementKind.DISCARD:
         return discard(session, statement)
     if statement.value:
         variables.set(statement.variable, statement.value)
     else:
         variables.reset(statement.variable)
-    return LocalAnswer(build_complete("SET"))
+    return LocalAnswer(build_command_complete("SET"))
 
 
 def discard(session: CallerSession, statement: Statement) -> LocalAnswer:
@@ -164,12 +164,14 @@
         session.variables.reset("all")
     if session.pipeline is not None:
         if target in ("all", "statements"):
-            session.pipeline.store.forget_all()
+            session.pipeline.store.clear()
         elif target == "statement":
-            session.pipeline.store.forget(statement.value.encode())
+            session.pipeline.store.remove(statement.value.encode())
     tags = {"variables": "RESET", "statements": "DEALLOCATE ALL", "all": "DISCARD ALL"}
     tags |= {"statement": "DEALLOCATE", "session": "RESET"}
-    return LocalAnswer(build_complete(tags.get(target, f"DISCARD {target.upper()}")))
+    return LocalAnswer(
+        build_command_complete(tags.get(target, f"DISCARD {target.upper()}"))
+    )
 
 
 async def run_simple(
--- a/ebonyrack/callers/exchange.py
+++ b/ebonyrack/callers/exchange.py
@@ -8,7 +8,7 @@
 from typing import TYPE_CHECKING
 from typing import Protocol
 
-from ebonyrack.callers.answers import build_complete
+from ebonyrack.callers.answers import build_command_complete
 from ebonyrack.callers.prepared import HEADER_BYTES
 
 if TYPE_CHECKING:
@@ -111,7 +111,7 @@
 
     def build_replay(self, tags: Sequence[str], frames: Sequence[bytes] = ()) -> bytes:
         """Build the answer from recorded frames or else from command tags."""
-        return b"".join(frames or [build_complete(tag) for tag in tags])
+        return b"".join(frames or [build_command_complete(tag) for tag in tags])
 
     @property
     def text(self) -> str:
--- a/ebonyrack/callers/failover_test.py
+++ b/ebonyrack/callers/failover_test.py
@@ -6,8 +6,8 @@
 import pytest
 
 from ebonyrack.callers.conftest import GROUP
-from ebonyrack.callers.conftest import error_of
-from ebonyrack.callers.conftest import kinds
+from ebonyrack.callers.conftest import find_error
+from ebonyrack.callers.conftest import join_kinds
 from ebonyrack.callers.conftest import open_proxy
 from ebonyrack.callers.conftest import wait_until
 from ebonyrack.config.document import Document
@@ -89,7 +89,7 @@
         await caller.query(INSERT.format("a"))
         assert await proxy.standins["up-1"].fence(2)
         frames = await caller.query(INSERT.format("b"))
-        assert error_of(frames)[1].startswith("ran=no")
+        assert find_error(frames)[1].startswith("ran=no")
         assert frames[-1] == (b"Z", b"E")
         await caller.query("COMMIT")
         for name in ("up-1", "up-2", "up-3"):
@@ -116,11 +116,11 @@
         for replica in ("up-2", "up-3"):
             proxy.standins.cut("up-1", replica)
         frames = await caller.query(INSERT.format("a"))
-        assert error_of(frames)[1].startswith("ran=unknown")
+        assert find_error(frames)[1].startswith("ran=unknown")
         await reader.query("BEGIN")
-        assert "D" in kinds(await reader.query("SELECT request FROM bookings"))
+        assert "D" in join_kinds(await reader.query("SELECT request FROM bookings"))
         frames = await reader.query("COMMIT")
-        assert error_of(frames)[1].startswith("ran=no kind=position_not_reached")
+        assert find_error(frames)[1].startswith("ran=no kind=position_not_reached")
         assert frames[-1] == (b"Z", b"I")
         proxy.standins.heal()
 
--- a/ebonyrack/callers/fault_matrix_test.py
+++ b/ebonyrack/callers/fault_matrix_test.py
@@ -10,8 +10,8 @@
 from pygwire.messages import CancelRequest
 
 from ebonyrack.callers import upstream_use
-from ebonyrack.callers.conftest import error_of
-from ebonyrack.callers.conftest import kinds
+from ebonyrack.callers.conftest import find_error
+from ebonyrack.callers.conftest import join_kinds
 from ebonyrack.callers.conftest import open_proxy
 from ebonyrack.callers.conftest import wait_until
 from ebonyrack.callers.relay import Relay
@@ -154,7 +154,7 @@
     frames = []
     for sql in statements:
         frames = await caller.query(sql)
-        if "E" in kinds(frames):
+        if "E" in join_kinds(frames):
             break
     return frames
 
@@ -165,9 +165,9 @@
         frames = await ask_all(caller, statements)
     except (ConnectionError, asyncio.IncompleteReadError):
         return GONE, []
-    if "E" not in kinds(frames):
+    if "E" not in join_kinds(frames):
         return OK, frames
-    detail = error_of(frames)[1]
+    detail = find_error(frames)[1]
     return detail.partition(" ")[0].removeprefix("ran=") or NO, frames
 
 
@@ -295,11 +295,11 @@
     await wait_until(lambda: proxy.group.primary() is not None)
     caller = await proxy.start_wire()
     frames = await caller.query(INSERT.replace(REQUEST, "the-next"))
-    assert kinds(frames) == "CSZ"
+    assert join_kinds(frames) == "CSZ"
     # What was rolled back late has left by the time a later write has committed.
     assert proxy.count_rows(PRIMARY, REQUEST) == rows
     frames = await caller.query(READ)
-    assert kinds(frames).count("D") == rows + 1
+    assert join_kinds(frames).count("D") == rows + 1
 
 
 READ_CELLS = [
@@ -323,14 +323,14 @@
         caller.abort()
         await wait_until(lambda: not proxy.sessions)
         outcome, frames = await run_cell(monkeypatch, proxy, step, fault, (READ,))
-        rows = kinds(frames).count("D")
+        rows = join_kinds(frames).count("D")
         note(f"read of {row_bytes} bytes a row", step, fault, outcome, rows)
         is_long = step == "answer half way" and row_bytes > SHORT_ROW_BYTES
         assert outcome in allowed.get(fault, {NO, OK} if is_long else {OK})
         if is_long and fault == "connection_lost":
             assert outcome == NO
         # A short answer never looks whole, and no answer is given twice.
-        assert ("C" in kinds(frames)) == (outcome == OK)
+        assert ("C" in join_kinds(frames)) == (outcome == OK)
         assert rows <= SEEDED_ROWS
         if outcome == OK:
             assert rows == SEEDED_ROWS
--- a/ebonyrack/callers/own_request.py
+++ b/ebonyrack/callers/internal_request.py
@@ -17,7 +17,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class OwnRequest:
+class InternalRequest:
     """A statement of the proxy, of whose answer the caller sees nothing.
 
     Attributes:
@@ -40,6 +40,6 @@
         return b""
 
 
-OWN_BEGIN = "BEGIN"
-OWN_COMMIT = OwnRequest("COMMIT")
-OWN_ROLLBACK = OwnRequest("ROLLBACK")
+INTERNAL_BEGIN = "BEGIN"
+INTERNAL_COMMIT = InternalRequest("COMMIT")
+INTERNAL_ROLLBACK = InternalRequest("ROLLBACK")
--- a/ebonyrack/callers/keyed_test.py
+++ b/ebonyrack/callers/keyed_test.py
@@ -4,8 +4,8 @@
 
 from ebonyrack.callers import commit
 from ebonyrack.callers import writing
-from ebonyrack.callers.conftest import error_of
-from ebonyrack.callers.conftest import kinds
+from ebonyrack.callers.conftest import find_error
+from ebonyrack.callers.conftest import join_kinds
 from ebonyrack.standins.sql_error import SqlError
 from ebonyrack.standins.upstream import StandinUpstream
 from ebonyrack.upstreams.connection import UpstreamConnection
@@ -46,7 +46,7 @@
     sent = []
     watch_sends(monkeypatch, proxy, sent.append)
     caller = await proxy.start_wire()
-    assert "C" in kinds(await run(caller, statements))
+    assert "C" in join_kinds(await run(caller, statements))
     assert len(sent) == 3
     for data, part in zip(sent, (CLAIM, STATEMENT, COMMIT), strict=True):
         assert part in data
@@ -67,12 +67,12 @@
                 "build_outcome_record",
                 lambda key, outcome: "INSERT INTO missing (key) VALUES ('k')",
             )
-        sqlstate, detail = error_of(await run(caller, statements))
+        sqlstate, detail = find_error(await run(caller, statements))
     assert sqlstate == "0A000" and detail.startswith("ran=no") and "42P01" in detail
     assert proxy.count_rows(PRIMARY, REQUEST) == 0
     # The connection is clean and the key is free.
     assert len(proxy.pool(PRIMARY).busy) == 0
-    assert "E" not in kinds(await run(caller, statements))
+    assert "E" not in join_kinds(await run(caller, statements))
     assert proxy.count_rows(PRIMARY, REQUEST) == 1
 
 
@@ -88,7 +88,7 @@
     caller = await proxy.start_wire()
     with monkeypatch.context() as patches:
         watch_sends(patches, proxy, end_upstream_sessions)
-        sqlstate, detail = error_of(await run(caller, statements))
+        sqlstate, detail = find_error(await run(caller, statements))
     assert sqlstate == "08006" and detail.startswith("ran=no")
     assert proxy.count_rows(PRIMARY, REQUEST) == 0
 
@@ -105,9 +105,9 @@
     with monkeypatch.context() as patches:
         patches.setattr(StandinUpstream, "commit", refuse)
         frames = await run(caller, statements)
-    assert error_of(frames) == ("23503", "") and frames[-1] == (b"Z", b"I")
+    assert find_error(frames) == ("23503", "") and frames[-1] == (b"Z", b"I")
     assert proxy.count_rows(PRIMARY, REQUEST) == 0
-    assert "E" not in kinds(await run(caller, statements))
+    assert "E" not in join_kinds(await run(caller, statements))
     assert proxy.count_rows(PRIMARY, REQUEST) == 1
 
 
@@ -125,6 +125,6 @@
     caller = await proxy.start_wire()
     statements = (SET_KEY, begin, INSERT, "COMMIT")
     assert (b"C", b"COMMIT\x00") in await run(caller, statements)
-    sqlstate, detail = error_of(await run(caller, statements[:3]))
+    sqlstate, detail = find_error(await run(caller, statements[:3]))
     assert sqlstate == "23505" and "already_ran" in detail
     assert proxy.count_rows(PRIMARY, REQUEST) == 1
--- a/ebonyrack/callers/listener.py
+++ b/ebonyrack/callers/listener.py
@@ -12,8 +12,8 @@
 from pygwire.messages import CancelRequest
 from pygwire.messages import StartupMessage
 
-from ebonyrack.callers.answers import build_error
-from ebonyrack.callers.answers import build_ready
+from ebonyrack.callers.answers import build_error_response
+from ebonyrack.callers.answers import build_ready_for_query
 from ebonyrack.callers.cancel import cancel_abandoned
 from ebonyrack.callers.cancel import cancel_request
 from ebonyrack.callers.parameters import build_parameters
@@ -106,7 +106,7 @@
         """
         limit = self.services.settings.proxy.maximum_callers + MAXIMUM_STARTING
         if len(self.tasks) >= limit:
-            stream.write(build_error(RequestError(ErrorKind.TOO_MANY_CALLERS)))
+            stream.write(build_error_response(RequestError(ErrorKind.TOO_MANY_CALLERS)))
             stream.close()
             return
         task = asyncio.get_running_loop().create_task(self.serve(stream))
@@ -137,11 +137,11 @@
             if session is not None:
                 await session.run()
         except RequestError as error:
-            stream.write(build_error(error))
+            stream.write(build_error_response(error))
             stream.finish()
         except Exception:
             logger.exception("session_failed")
-            stream.write(build_error(RequestError(ErrorKind.INTERNAL)))
+            stream.write(build_error_response(RequestError(ErrorKind.INTERNAL)))
             stream.finish()
         finally:
             if session is not None:
@@ -163,7 +163,7 @@
         except TimeoutError:
             logger.debug("caller_lingers")
 
-    def stop_statement(self, connection: UpstreamConnection) -> None:
+    def cancel_statement(self, connection: UpstreamConnection) -> None:
         """Cancel what an upstream still runs for a session that gave it up.
 
         Args:
@@ -236,7 +236,7 @@
             identity,
             self.choose_number(),
             secrets.token_bytes(SECRET_BYTES),
-            self.stop_statement,
+            self.cancel_statement,
         )
         for name, value in identity.variables.items():
             session.variables.set(name, value)
@@ -246,7 +246,7 @@
         stream.on_lost = functools.partial(cancel_task, self.tasks[stream])
         key = BackendKeyData(process_id=session.number, secret_key=session.secret_key)
         parameters = build_parameters(identity.user, session.variables)
-        stream.write(parameters + key.to_wire() + build_ready("I"))
+        stream.write(parameters + key.to_wire() + build_ready_for_query("I"))
         return session
 
     def check_admitted(self, identity: CallerIdentity) -> None:
--- a/ebonyrack/callers/listener_test.py
+++ b/ebonyrack/callers/listener_test.py
@@ -4,8 +4,8 @@
 import pytest
 from pygwire.messages import CancelRequest
 
-from ebonyrack.callers.conftest import error_of
-from ebonyrack.callers.conftest import kinds
+from ebonyrack.callers.conftest import find_error
+from ebonyrack.callers.conftest import join_kinds
 from ebonyrack.callers.conftest import wait_until
 
 INSERT = "INSERT INTO bookings (slot, booker, request) VALUES (1, 'me', '{}')"
@@ -61,7 +61,7 @@
     drain = asyncio.create_task(proxy.listener.drain(LIMIT_S))
     assert b"C57P01" in await idle.read_to_end()
     frames = await caller.query("COMMIT")
-    assert kinds(frames) == "CSZ" and not drain.done()
+    assert join_kinds(frames) == "CSZ" and not drain.done()
     assert b"C57P01" in await caller.read_to_end()
     assert await drain == 0
     with pytest.raises(psycopg.OperationalError):
@@ -96,7 +96,7 @@
     request = CancelRequest(process_id=proxy.sessions[0].number, secret_key=secret)
     other.send(request.to_wire())
     assert await other.read_to_end() == b""
-    assert kinds(await running) == "TDCZ"
+    assert join_kinds(await running) == "TDCZ"
 
 
 async def test_a_fault_of_the_proxy_is_answered_and_contained(proxy, monkeypatch):
@@ -104,7 +104,7 @@
     monkeypatch.setattr("ebonyrack.callers.session.classify_statement", None)
     caller.send(b"Q\x00\x00\x00\x0dSELECT 1\x00")
     frames = [await caller.read_frame()]
-    sqlstate, detail = error_of(frames)
+    sqlstate, detail = find_error(frames)
     assert sqlstate == "XX000" and detail.startswith("ran=unknown")
     monkeypatch.undo()
-    assert kinds(await other.query("SELECT 1")) == "TDCZ"
+    assert join_kinds(await other.query("SELECT 1")) == "TDCZ"
--- a/ebonyrack/callers/parameters.py
+++ b/ebonyrack/callers/parameters.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING
 
-from ebonyrack.callers.answers import build_parameter
+from ebonyrack.callers.answers import build_parameter_status
 from ebonyrack.callers.variables import APPLICATION_NAME
 from ebonyrack.callers.variables import KNOWN_SETTINGS
 from ebonyrack.callers.variables import TOKEN
@@ -25,9 +25,9 @@
     "timezone": "TimeZone",
 }
 FIXED_PARAMETERS = b"".join(
-    build_parameter(reported, KNOWN_SETTINGS[name][0])
+    build_parameter_status(reported, KNOWN_SETTINGS[name][0])
     for name, reported in REPORTED_NAMES.items()
-) + build_parameter("is_superuser", "off")
+) + build_parameter_status("is_superuser", "off")
 
 
 def build_parameters(user: str, variables: SessionVariables) -> bytes:
@@ -41,9 +41,9 @@
         The frames.
     """
     frames = FIXED_PARAMETERS
-    frames += build_parameter("session_authorization", user)
-    frames += build_parameter(APPLICATION_NAME, variables.application_name)
+    frames += build_parameter_status("session_authorization", user)
+    frames += build_parameter_status(APPLICATION_NAME, variables.application_name)
     token = variables.build_token()
     if token:
-        frames += build_parameter(TOKEN, token)
+        frames += build_parameter_status(TOKEN, token)
     return frames
--- a/ebonyrack/callers/pipeline.py
+++ b/ebonyrack/callers/pipeline.py
@@ -10,11 +10,11 @@
 from ebonyrack.callers.control_chunk import run_control_chunk
 from ebonyrack.callers.control_chunk import split_items
 from ebonyrack.callers.dispatch import run_data
-from ebonyrack.callers.own_request import OWN_BEGIN
-from ebonyrack.callers.own_request import OWN_COMMIT
-from ebonyrack.callers.own_request import OWN_ROLLBACK
-from ebonyrack.callers.prepared import read_message
-from ebonyrack.callers.prepared import read_statement
+from ebonyrack.callers.internal_request import INTERNAL_BEGIN
+from ebonyrack.callers.internal_request import INTERNAL_COMMIT
+from ebonyrack.callers.internal_request import INTERNAL_ROLLBACK
+from ebonyrack.callers.prepared import decode_message
+from ebonyrack.callers.prepared import decode_statement
 from ebonyrack.callers.statement_store import StatementStore
 from ebonyrack.callers.transaction_status import IDLE
 from ebonyrack.callers.transaction_status import OPEN
@@ -112,11 +112,11 @@
         Raises:
             RequestError: BAD_REQUEST if it can't be read.
         """
-        message = read_message(frame.kind, frame.raw)
+        message = decode_message(frame.kind, frame.raw)
         prepared = None
         if message.kind == b"P":
-            prepared = read_statement(message.rest, bool(message.statement))
-        elif message.kind == b"B" or message.is_about_statement:
+            prepared = decode_statement(message.rest, bool(message.statement))
+        elif message.kind == b"B" or message.targets_statement:
             prepared = self.find_statement(message.statement)
         else:
             prepared = self.portals.get(message.portal)
@@ -139,7 +139,7 @@
             if message.statement == name and message.kind == b"P":
                 return item.prepared
             if message.statement == name and message.kind == b"C":
-                if message.is_about_statement:
+                if message.targets_statement:
                     return None
         return self.store.statements.get(name)
 
@@ -170,9 +170,9 @@
         transaction = session.transaction
         try:
             if transaction.status == OPEN:
-                await transaction.commit(OWN_COMMIT)
+                await transaction.commit(INTERNAL_COMMIT)
             else:
-                await transaction.roll_back(OWN_ROLLBACK)
+                await transaction.roll_back(INTERNAL_ROLLBACK)
         except RequestError as error:
             session.fail(error)
         # Whatever happened, the caller never opened this transaction.
@@ -236,12 +236,12 @@
         session = self.session
         if chunk.is_local:
             session.stream.write(chunk.build_replay([]))
-            self.store.note_closed(chunk)
+            self.store.remove_closed(chunk)
             return True
         if not is_whole and session.transaction.status == IDLE and chunk.makes_portals:
-            session.transaction.begin(OWN_BEGIN, False, is_implicit=True)
+            session.transaction.begin(INTERNAL_BEGIN, False, is_implicit=True)
         try:
             return await run_data(session, chunk.statement, chunk)
         finally:
-            self.store.note_closed(chunk)
-            self.store.note_defined(chunk)
+            self.store.remove_closed(chunk)
+            self.store.add_prepared(chunk)
--- a/ebonyrack/callers/pipeline_test.py
+++ b/ebonyrack/callers/pipeline_test.py
@@ -10,9 +10,9 @@
 from ebonyrack.callers.conftest import bind
 from ebonyrack.callers.conftest import close
 from ebonyrack.callers.conftest import describe
-from ebonyrack.callers.conftest import error_of
 from ebonyrack.callers.conftest import execute
-from ebonyrack.callers.conftest import kinds
+from ebonyrack.callers.conftest import find_error
+from ebonyrack.callers.conftest import join_kinds
 from ebonyrack.callers.conftest import open_proxy
 from ebonyrack.callers.conftest import parse
 from ebonyrack.callers.conftest import wait_until
@@ -29,30 +29,33 @@
 
 async def test_a_read_is_served_by_a_replica(proxy):
     caller = await proxy.start_wire()
-    assert kinds(await caller.ask(run(COUNT), SYNC)) == "12TDCZ"
+    assert join_kinds(await caller.send_and_read(run(COUNT), SYNC)) == "12TDCZ"
     frames = await caller.query("SHOW ebonyrack.served_by")
     assert frames[1][1].endswith(b"replica")
 
 
 async def test_a_write_is_reported_with_its_token(proxy):
     caller = await proxy.start_wire()
-    frames = await caller.ask(run(INSERT % b"a"), SYNC)
-    assert kinds(frames) == "12nCSZ"
+    frames = await caller.send_and_read(run(INSERT % b"a"), SYNC)
+    assert join_kinds(frames) == "12nCSZ"
     assert proxy.count_rows("up-2", "a") + proxy.count_rows("up-3", "a") >= 1
 
 
 async def test_a_named_statement_is_prepared_wherever_it_is_used(proxy):
     caller = await proxy.start_wire()
-    frames = await caller.ask(parse(b"s", COUNT), describe(b"S", b"s"), SYNC)
-    assert kinds(frames) == "1tTZ"
+    frames = await caller.send_and_read(parse(b"s", COUNT), describe(b"S", b"s"), SYNC)
+    assert join_kinds(frames) == "1tTZ"
     for _ in range(6):
-        assert kinds(await caller.ask(bind(b"s"), execute(), SYNC)) == "2DCZ"
+        assert (
+            join_kinds(await caller.send_and_read(bind(b"s"), execute(), SYNC))
+            == "2DCZ"
+        )
     await caller.query("BEGIN")
-    assert kinds(await caller.ask(bind(b"s"), execute(), SYNC)) == "2DCZ"
+    assert join_kinds(await caller.send_and_read(bind(b"s"), execute(), SYNC)) == "2DCZ"
     await caller.query("COMMIT")
-    assert kinds(await caller.ask(close(b"S", b"s"), SYNC)) == "3Z"
-    frames = await caller.ask(bind(b"s"), execute(), SYNC)
-    assert error_of(frames)[0] == "26000"
+    assert join_kinds(await caller.send_and_read(close(b"S", b"s"), SYNC)) == "3Z"
+    frames = await caller.send_and_read(bind(b"s"), execute(), SYNC)
+    assert find_error(frames)[0] == "26000"
 
 
 async def use_all_connections(proxy, caller, request):
@@ -62,15 +65,15 @@
     """
     served_by = set()
     for _ in range(MAXIMUM_READS):
-        assert "E" not in kinds(await caller.ask(request))
+        assert "E" not in join_kinds(await caller.send_and_read(request))
         served_by.add((await caller.query("SHOW ebonyrack.served_by"))[1])
         if len(served_by) == len(NAMES) - 1:
             break
     holders = []
     for _ in range(proxy.pool().limit):
         await caller.query("BEGIN")
-        frames = await caller.ask(request)
-        assert "E" not in kinds(frames)
+        frames = await caller.send_and_read(request)
+        assert "E" not in join_kinds(frames)
         await caller.query("ROLLBACK")
         holder = await proxy.start_wire()
         await holder.query("BEGIN")
@@ -90,7 +93,7 @@
     async with open_proxy(limit=5) as proxy:
         caller, other = [await proxy.start_wire() for _ in range(2)]
         await other.query("INSERT INTO bookings (slot, request) VALUES (1, 'a')")
-        await caller.ask(parse(b"s", sql), SYNC)
+        await caller.send_and_read(parse(b"s", sql), SYNC)
         request = bind(b"s") + describe(b"P", b"") + execute() + SYNC
         await use_all_connections(proxy, caller, request)
         await other.query("ALTER TABLE bookings ADD COLUMN note text")
@@ -98,55 +101,61 @@
         while True:
             if is_transaction:
                 await caller.query("BEGIN")
-            frames = await caller.ask(request)
+            frames = await caller.send_and_read(request)
             if is_transaction:
                 await caller.query("ROLLBACK")
-            if "E" not in kinds(frames):
+            if "E" not in join_kinds(frames):
                 break
-            assert error_of(frames)[0] == "0A000"
+            assert find_error(frames)[0] == "0A000"
             stale_connections += 1
             assert stale_connections <= len(NAMES) * proxy.pool().limit
         assert stale_connections > 0
-        assert kinds(frames) in ("2TDCZ", "2TDCSZ") and b"note" in frames[1][1]
+        assert join_kinds(frames) in ("2TDCZ", "2TDCSZ") and b"note" in frames[1][1]
 
 
 async def test_names_of_two_sessions_do_not_collide(proxy):
     first, second = [await proxy.start_wire() for _ in range(2)]
-    await first.ask(parse(b"s", b"SELECT 1"), SYNC)
-    await second.ask(parse(b"s", b"SELECT 2"), SYNC)
+    await first.send_and_read(parse(b"s", b"SELECT 1"), SYNC)
+    await second.send_and_read(parse(b"s", b"SELECT 2"), SYNC)
     for _ in range(4):
         for caller, value in ((first, b"1"), (second, b"2")):
-            frames = await caller.ask(bind(b"s"), execute(), SYNC)
+            frames = await caller.send_and_read(bind(b"s"), execute(), SYNC)
             assert frames[1][1].endswith(value)
 
 
 async def test_the_unnamed_statement_lasts_until_the_next_one(proxy):
     caller = await proxy.start_wire()
-    await caller.ask(parse(b"", b"SELECT 1"), SYNC)
+    await caller.send_and_read(parse(b"", b"SELECT 1"), SYNC)
     for _ in range(3):
-        assert kinds(await caller.ask(bind(b""), execute(), SYNC)) == "2DCZ"
+        assert (
+            join_kinds(await caller.send_and_read(bind(b""), execute(), SYNC)) == "2DCZ"
+        )
     await caller.query("SELECT 2")
-    assert error_of(await caller.ask(bind(b""), execute(), SYNC))[0] == "26000"
+    assert (
+        find_error(await caller.send_and_read(bind(b""), execute(), SYNC))[0] == "26000"
+    )
 
 
 async def test_an_error_skips_to_sync_and_what_came_before_stays_prepared(proxy):
     caller = await proxy.start_wire()
-    frames = await caller.ask(
+    frames = await caller.send_and_read(
         parse(b"good", b"SELECT 1"),
         parse(b"bad", b"SELECT 1; SELECT 2"),
         run(COUNT),
         SYNC,
     )
-    assert kinds(frames) == "1EZ"
-    assert kinds(await caller.ask(bind(b"good"), execute(), SYNC)) == "2DCZ"
-    assert error_of(await caller.ask(bind(b"bad"), SYNC))[0] == "26000"
+    assert join_kinds(frames) == "1EZ"
+    assert (
+        join_kinds(await caller.send_and_read(bind(b"good"), execute(), SYNC)) == "2DCZ"
+    )
+    assert find_error(await caller.send_and_read(bind(b"bad"), SYNC))[0] == "26000"
 
 
 async def test_a_pipeline_without_a_transaction_is_one(proxy):
     caller = await proxy.start_wire()
-    frames = await caller.ask(run(INSERT % b"a"), run(INSERT % b"a"), SYNC)
-    assert error_of(frames)[0] == "23505"
-    assert "C" not in kinds(frames)[-2:]
+    frames = await caller.send_and_read(run(INSERT % b"a"), run(INSERT % b"a"), SYNC)
+    assert find_error(frames)[0] == "23505"
+    assert "C" not in join_kinds(frames)[-2:]
     assert proxy.count_rows("up-1", "a") == 0
 
 
@@ -160,16 +169,16 @@
         b"n",
         b"C",
     ]
-    frames = await caller.ask(run(INSERT % last), SYNC)
+    frames = await caller.send_and_read(run(INSERT % last), SYNC)
     assert frames[-1] == (b"Z", b"I")
-    assert ("E" in kinds(frames)) == (last == b"a")
+    assert ("E" in join_kinds(frames)) == (last == b"a")
     assert proxy.count_rows("up-1", "a") == (last != b"a")
     assert proxy.pool().busy_count == 0
 
 
 async def test_transaction_control_and_variables_within_a_pipeline(proxy):
     caller = await proxy.start_wire()
-    frames = await caller.ask(
+    frames = await caller.send_and_read(
         run(b"SET ebonyrack.max_age = '0'"),
         run(b"BEGIN"),
         run(INSERT % b"a"),
@@ -178,7 +187,7 @@
         run(COUNT),
         SYNC,
     )
-    assert kinds(frames) == "12nC12nC12nC12TDC12nCS12TDCZ"
+    assert join_kinds(frames) == "12nC12nC12nC12TDC12nCS12TDCZ"
     assert frames[-3][1].endswith(b"1")
 
 
@@ -186,7 +195,7 @@
     caller = await proxy.start_wire()
     caller.send(parse(b"", COUNT), bind(b""), FLUSH)
     assert [(await caller.read_frame())[0] for _ in range(2)] == [b"1", b"2"]
-    assert kinds(await caller.ask(execute(), SYNC)) == "DCZ"
+    assert join_kinds(await caller.send_and_read(execute(), SYNC)) == "DCZ"
 
 
 @pytest.mark.parametrize("value_bytes", [300_000, 600_000])
@@ -210,41 +219,43 @@
 
 async def test_copy_is_refused_cleanly(proxy):
     caller = await proxy.start_wire()
-    frames = await caller.ask(run(b"COPY bookings FROM STDIN"), SYNC)
-    assert error_of(frames)[0] == "0A000" and kinds(frames) == "EZ"
+    frames = await caller.send_and_read(run(b"COPY bookings FROM STDIN"), SYNC)
+    assert find_error(frames)[0] == "0A000" and join_kinds(frames) == "EZ"
     # The data of a driver that did not wait for the refusal is skipped.
     caller.send(b"d\x00\x00\x00\x05x", b"c\x00\x00\x00\x04")
-    assert kinds(await caller.ask(run(COUNT), SYNC)) == "12TDCZ"
+    assert join_kinds(await caller.send_and_read(run(COUNT), SYNC)) == "12TDCZ"
 
 
 async def test_several_syncs_in_one_send(proxy):
     caller = await proxy.start_wire()
     caller.send(run(COUNT), SYNC, run(b"SELECT nowhere"), SYNC, run(COUNT), SYNC)
-    assert kinds(await caller.read_until_ready()) == "12TDCZ"
-    assert "E" in kinds(await caller.read_until_ready())
-    assert kinds(await caller.read_until_ready()) == "12TDCZ"
+    assert join_kinds(await caller.read_until_ready()) == "12TDCZ"
+    assert "E" in join_kinds(await caller.read_until_ready())
+    assert join_kinds(await caller.read_until_ready()) == "12TDCZ"
 
 
 async def test_a_portal_is_read_in_parts_within_a_transaction(proxy):
     caller = await proxy.start_wire()
     for request in (b"a", b"b", b"c"):
-        await caller.ask(run(INSERT % request), SYNC)
+        await caller.send_and_read(run(INSERT % request), SYNC)
     await caller.query("BEGIN")
     sql = b"SELECT request FROM bookings"
-    frames = await caller.ask(
+    frames = await caller.send_and_read(
         parse(b"", sql), bind(b"", b"p"), execute(b"p", 2), SYNC, SYNC
     )
-    assert kinds(frames) == "12DDsZ"
+    assert join_kinds(frames) == "12DDsZ"
     assert await caller.read_until_ready() == [(b"Z", b"T")]
-    assert kinds(await caller.ask(execute(b"p", 2), SYNC)) == "DCZ"
+    assert join_kinds(await caller.send_and_read(execute(b"p", 2), SYNC)) == "DCZ"
 
 
 async def test_a_keyed_pipeline_runs_once(proxy):
     caller = await proxy.start_wire()
     for number in range(2):
         await caller.query("SET ebonyrack.idempotency_key = 'k'")
-        frames = await caller.ask(run(INSERT % b"a"), run(INSERT % b"b"), SYNC)
-        assert kinds(frames) == "12nC12nCSSZ"
+        frames = await caller.send_and_read(
+            run(INSERT % b"a"), run(INSERT % b"b"), SYNC
+        )
+        assert join_kinds(frames) == "12nC12nCSSZ"
         assert (b"C", b"INSERT 0 1\x00") in frames
         assert any(payload.endswith(b"on\x00") for _, payload in frames) == number
     assert proxy.count_rows("up-1", "a") == 1
@@ -257,9 +268,14 @@
         for number in range(MAXIMUM_PREPARED + 3):
             sql = b"SELECT %d" % number
             name = b"s%d" % number
-            assert kinds(await caller.ask(run(sql, name), SYNC)) == "12TDCZ"
+            assert (
+                join_kinds(await caller.send_and_read(run(sql, name), SYNC)) == "12TDCZ"
+            )
         assert len(proxy.sessions[0].connection.prepared) <= MAXIMUM_PREPARED
-        assert kinds(await caller.ask(bind(b"s0"), execute(), SYNC)) == "2DCZ"
+        assert (
+            join_kinds(await caller.send_and_read(bind(b"s0"), execute(), SYNC))
+            == "2DCZ"
+        )
 
 
 async def test_psycopg_runs_unmodified(proxy):
--- a/ebonyrack/callers/prepared.py
+++ b/ebonyrack/callers/prepared.py
@@ -69,7 +69,7 @@
     rest: bytes
 
     @property
-    def is_about_statement(self) -> bool:
+    def targets_statement(self) -> bool:
         """Whether a Describe or Close names a statement."""
         return self.target == b"S"
 
@@ -87,7 +87,7 @@
     return HEADER.pack(kind, len(payload) + LENGTH_BYTES) + payload
 
 
-def read_message(kind: bytes, raw: bytes) -> PipelineMessage:
+def decode_message(kind: bytes, raw: bytes) -> PipelineMessage:
     """Read the names in a Parse, Bind, Describe, Execute or Close frame.
 
     Args:
@@ -143,7 +143,7 @@
     return body[:end], body[end + 1 :]
 
 
-def read_result_formats(rest: bytes) -> bytes:
+def decode_result_formats(rest: bytes) -> bytes:
     """Find the result formats in a Bind message.
 
     Args:
@@ -170,7 +170,7 @@
 
 
 @functools.lru_cache(maxsize=CACHED_STATEMENTS)
-def read_statement(body: bytes, is_named: bool) -> PreparedStatement:
+def decode_statement(body: bytes, is_named: bool) -> PreparedStatement:
     """Read the statement of a Parse message; sessions share equal ones.
 
     Args:
--- a/ebonyrack/callers/recorded_answer_test.py
+++ b/ebonyrack/callers/recorded_answer_test.py
@@ -14,9 +14,9 @@
 from ebonyrack.callers.conftest import USER
 from ebonyrack.callers.conftest import bind
 from ebonyrack.callers.conftest import describe
-from ebonyrack.callers.conftest import error_of
 from ebonyrack.callers.conftest import execute
-from ebonyrack.callers.conftest import kinds
+from ebonyrack.callers.conftest import find_error
+from ebonyrack.callers.conftest import join_kinds
 from ebonyrack.callers.conftest import parse
 from ebonyrack.callers.conftest import serve_group
 from ebonyrack.callers.exchange import SimpleRequest
@@ -53,7 +53,7 @@
 async def ask_keyed(caller, form):
     """Send a request under the key; return its answer and what was said beside it."""
     await caller.query(SET_KEY)
-    frames = await caller.ask(*FORMS[form])
+    frames = await caller.send_and_read(*FORMS[form])
     answer = [frame for frame in frames if frame[0] != b"S"]
     reports = [payload for kind, payload in frames if kind == b"S"]
     return answer, [
@@ -65,7 +65,9 @@
 async def test_a_repeat_gets_the_same_answer(proxy, form):
     caller = await proxy.start_wire()
     first, said = await ask_keyed(caller, form)
-    assert kinds(first).count("D") == 1 and said == [b"ebonyrack.replayed\x00off\x00"]
+    assert join_kinds(first).count("D") == 1 and said == [
+        b"ebonyrack.replayed\x00off\x00"
+    ]
     assert await ask_keyed(caller, form) == (first, [b"ebonyrack.replayed\x00on\x00"])
     assert proxy.count_rows(PRIMARY, REQUEST) == 1
 
@@ -75,10 +77,12 @@
     proxy.standins.lose_commit_answers(PRIMARY)
     caller = await proxy.start_wire()
     first, _ = await ask_keyed(caller, form)
-    assert error_of(first)[0] == "08007"
+    assert find_error(first)[0] == "08007"
     second, said = await ask_keyed(caller, form)
     assert said == [b"ebonyrack.replayed\x00on\x00"]
-    assert kinds(second).count("D") == 1 and any(b"me" in item[1] for item in second)
+    assert join_kinds(second).count("D") == 1 and any(
+        b"me" in item[1] for item in second
+    )
     assert (b"C", b"INSERT 0 1\x00") in second
     assert proxy.count_rows(PRIMARY, REQUEST) == 1
 
@@ -89,7 +93,7 @@
     async with serve_group(proxy.standins, section, {}, {}) as other:
         callers = [await one.start_wire() for one in (proxy, other)]
         answers = await asyncio.gather(*(ask_keyed(one, form) for one in callers))
-    assert answers[0][0] == answers[1][0] and kinds(answers[0][0]).count("D") == 1
+    assert answers[0][0] == answers[1][0] and join_kinds(answers[0][0]).count("D") == 1
     assert sorted(said[0][-3:-1] for _, said in answers) == [b"ff", b"on"]
     assert proxy.count_rows(PRIMARY, REQUEST) == 1
 
@@ -98,7 +102,7 @@
 async def test_another_form_is_told_that_it_ran(proxy, form):
     caller = await proxy.start_wire()
     await ask_keyed(caller, "not described")
-    sqlstate, detail = error_of((await ask_keyed(caller, form))[0])
+    sqlstate, detail = find_error((await ask_keyed(caller, form))[0])
     assert sqlstate == "23505" and detail.startswith("ran=yes")
     assert proxy.count_rows(PRIMARY, REQUEST) == 1
 
@@ -117,7 +121,7 @@
     caller = await proxy.start_wire()
     for sql in (SET_KEY, "BEGIN", INSERT, "COMMIT"):
         await caller.query(sql)
-    sqlstate, detail = error_of((await ask_keyed(caller, "simple"))[0])
+    sqlstate, detail = find_error((await ask_keyed(caller, "simple"))[0])
     assert sqlstate == "23505" and detail.startswith("ran=yes")
 
 
@@ -126,7 +130,7 @@
     await ask_keyed(caller, "simple")
     for sql in (SET_KEY, "BEGIN"):
         await caller.query(sql)
-    sqlstate, detail = error_of(await caller.query(SELECT_NONE))
+    sqlstate, detail = find_error(await caller.query(SELECT_NONE))
     assert sqlstate == "23505" and detail.endswith("outcome INSERT 0 1")
 
 
@@ -138,8 +142,8 @@
     long = INSERT.replace("me", "x" * value_bytes)
     await caller.query(SET_KEY)
     frames = await caller.query(long)
-    sqlstate, detail = error_of(frames)
-    assert "C" not in kinds(frames)
+    sqlstate, detail = find_error(frames)
+    assert "C" not in join_kinds(frames)
     assert sqlstate == "0A000" and detail.startswith("ran=no") and "8192" in detail
     assert proxy.count_rows(PRIMARY, REQUEST) == 0
     assert len(proxy.pool(PRIMARY).busy) == 0
@@ -155,8 +159,8 @@
     await ask_keyed(first, "named")
     await ask_keyed(second, "named")
     # The name is known: the database refuses the doubled booking itself.
-    frames = await second.ask(bind(b"s"), execute(), SYNC)
-    assert error_of(frames)[0] == "23505" and proxy.count_rows(PRIMARY, REQUEST) == 1
+    frames = await second.send_and_read(bind(b"s"), execute(), SYNC)
+    assert find_error(frames)[0] == "23505" and proxy.count_rows(PRIMARY, REQUEST) == 1
 
 
 async def test_psycopg_and_asyncpg_get_their_rows_again(proxy):
--- a/ebonyrack/callers/relay.py
+++ b/ebonyrack/callers/relay.py
@@ -6,7 +6,7 @@
 
 from pygwire.messages import CopyFail
 
-from ebonyrack.callers.answers import read_sqlstate
+from ebonyrack.callers.answers import extract_sqlstate
 from ebonyrack.callers.exchange import Completion
 from ebonyrack.upstreams.connection import UpstreamLostError
 
@@ -84,7 +84,7 @@
     @property
     def sqlstate(self) -> str:
         """SQLSTATE of the upstream's error, or an empty string."""
-        return "" if self.error is None else read_sqlstate(self.error)
+        return "" if self.error is None else extract_sqlstate(self.error)
 
     async def run(self) -> None:
         """Relay up to ReadyForQuery, which is not passed on.
@@ -112,7 +112,7 @@
         self.has_sent = True
         self.session.stream.write(self.output)
         self.output = bytearray()
-        await self.session.drain_caller()
+        await self.session.drain_output()
 
     def check_held_size(self) -> None:
         """Give up on an answer that is too large to hold.
--- a/ebonyrack/callers/session.py
+++ b/ebonyrack/callers/session.py
@@ -8,8 +8,8 @@
 from pygwire.exceptions import PygwireError
 from pygwire.messages import Query
 
-from ebonyrack.callers.answers import build_error
-from ebonyrack.callers.answers import build_ready
+from ebonyrack.callers.answers import build_error_response
+from ebonyrack.callers.answers import build_ready_for_query
 from ebonyrack.callers.dispatch import run_simple
 from ebonyrack.callers.exchange import SimpleRequest
 from ebonyrack.callers.pipeline import Pipeline
@@ -47,7 +47,7 @@
         document: Document against which the identity was checked last.
         number: Number of the session, which is its process id for the caller.
         secret_key: Secret that a cancel request must name.
-        stop_statement: Cancels what an abandoned upstream connection still runs.
+        cancel_statement: Cancels what an abandoned upstream connection still runs.
         transaction: The caller's transaction, if there is one.
         pipeline: Messages of the extended query protocol, once there were any.
     """
@@ -57,7 +57,7 @@
         "document",
         "number",
         "secret_key",
-        "stop_statement",
+        "cancel_statement",
         "transaction",
         "pipeline",
     )
@@ -69,14 +69,14 @@
         identity: CallerIdentity,
         number: int,
         secret_key: bytes,
-        stop_statement: Callable[[UpstreamConnection], None],
+        cancel_statement: Callable[[UpstreamConnection], None],
     ) -> None:
         super().__init__(services, identity)
         self.stream = stream
         self.document = services.configuration.document
         self.number = number
         self.secret_key = secret_key
-        self.stop_statement = stop_statement
+        self.cancel_statement = cancel_statement
         self.transaction = Transaction(self)
         self.pipeline: Pipeline | None = None
 
@@ -89,7 +89,7 @@
                     return
                 self.check_admitted()
                 await self.handle(frame)
-                await self.drain_caller()
+                await self.drain_output()
         finally:
             self.transaction.abandon()
 
@@ -139,7 +139,7 @@
             return
         if self.stream.buffer or self.stream.is_lost or self.stream.is_finished:
             return
-        self.stream.write(build_error(RequestError(ErrorKind.SHUTTING_DOWN)))
+        self.stream.write(build_error_response(RequestError(ErrorKind.SHUTTING_DOWN)))
         self.stream.finish()
 
     @property
@@ -147,7 +147,7 @@
         """Whether messages have come that no Sync has closed yet."""
         return self.pipeline is not None and self.pipeline.is_open
 
-    async def drain_caller(self) -> None:
+    async def drain_output(self) -> None:
         """Wait until the caller has taken most of its answer."""
         if self.stream.is_writing_paused:
             self.enter(Phase.CALLER)
@@ -187,7 +187,7 @@
         """
         if self.pipeline is not None:
             # As in PostgreSQL, a simple query drops the unnamed statement.
-            self.pipeline.store.forget(b"")
+            self.pipeline.store.remove(b"")
         try:
             sql = Query.decode(frame.payload).query_string
         except (PygwireError, ValueError) as error:
@@ -246,8 +246,8 @@
             self.transaction.fail()
         if ERROR_ANSWERS[error.kind].fatal:
             raise error
-        self.stream.write(build_error(error))
+        self.stream.write(build_error_response(error))
 
     def write_ready(self) -> None:
         """Tell the caller that the next request may come."""
-        self.stream.write(build_ready(self.transaction.status))
+        self.stream.write(build_ready_for_query(self.transaction.status))
--- a/ebonyrack/callers/session_model_test.py
+++ b/ebonyrack/callers/session_model_test.py
@@ -16,9 +16,9 @@
 from ebonyrack.callers.conftest import FLUSH
 from ebonyrack.callers.conftest import SYNC
 from ebonyrack.callers.conftest import bind
-from ebonyrack.callers.conftest import error_of
 from ebonyrack.callers.conftest import execute
-from ebonyrack.callers.conftest import kinds
+from ebonyrack.callers.conftest import find_error
+from ebonyrack.callers.conftest import join_kinds
 from ebonyrack.callers.conftest import open_proxy
 from ebonyrack.callers.conftest import parse
 from ebonyrack.callers.conftest import wait_until
@@ -61,12 +61,12 @@
             return await self.wire.query(sql)
         name = b"s%d" % (hash(sql) % 1000) if manner == "named" else b""
         flush = FLUSH if manner == "flushed" else b""
-        frames = await self.wire.ask(
+        frames = await self.wire.send_and_read(
             parse(name, sql.encode()), flush, bind(name), execute(), flush, SYNC
         )
         if name:
             close = b"C\x00\x00\x00" + bytes([6 + len(name)]) + b"S" + name + b"\x00"
-            await self.wire.ask(close, SYNC)
+            await self.wire.send_and_read(close, SYNC)
         return frames
 
 
@@ -99,7 +99,7 @@
     def run(self, caller, sql, manner="simple"):
         frames = self.runner.run(caller.run(sql, manner))
         if caller.has_expired and not sql.startswith("ROLLBACK"):
-            assert error_of(frames)[0] == "25P03"
+            assert find_error(frames)[0] == "25P03"
             caller.has_expired = False
             frames = []
         else:
@@ -115,7 +115,7 @@
         caller = self.callers[number]
         frames = self.run(caller, "BEGIN", manner)
         if frames and caller.status == "E":
-            assert error_of(frames)[0] == "25P02"
+            assert find_error(frames)[0] == "25P02"
         elif caller.status == "I":
             caller.status = "T"
 
@@ -133,12 +133,12 @@
             return
         caller.is_writer = caller.status == "T" or caller.is_writer
         if caller.status == "E":
-            assert error_of(frames)[0] == "25P02"
+            assert find_error(frames)[0] == "25P02"
         elif is_double:
-            assert error_of(frames)[0] == "23505"
+            assert find_error(frames)[0] == "23505"
             self.fail_transaction(caller)
         else:
-            assert "E" not in kinds(frames)
+            assert "E" not in join_kinds(frames)
             if caller.status == "T":
                 caller.pending.append(request)
             else:
@@ -156,7 +156,7 @@
         if not frames:
             return
         if caller.status == "E":
-            assert error_of(frames)[0] == "25P02"
+            assert find_error(frames)[0] == "25P02"
             return
         seen = {payload[6:].decode() for kind, payload in frames if kind == b"D"}
         assert seen == self.committed | set(caller.pending)
--- a/ebonyrack/callers/session_test.py
+++ b/ebonyrack/callers/session_test.py
@@ -3,8 +3,8 @@
 import psycopg
 import pytest
 
-from ebonyrack.callers.conftest import error_of
-from ebonyrack.callers.conftest import kinds
+from ebonyrack.callers.conftest import find_error
+from ebonyrack.callers.conftest import join_kinds
 from ebonyrack.callers.conftest import open_proxy
 from ebonyrack.callers.conftest import wait_until
 from ebonyrack.callers.watchdog import check_sessions
@@ -97,9 +97,9 @@
     await caller.query("BEGIN")
     assert (await caller.query("SELECT nonsense FROM nowhere"))[-1] == (b"Z", b"E")
     frames = await caller.query("SELECT 1")
-    assert error_of(frames)[0] == "25P02" and frames[-1] == (b"Z", b"E")
+    assert find_error(frames)[0] == "25P02" and frames[-1] == (b"Z", b"E")
     frames = await caller.query("SET ebonyrack.max_age = '5s'")
-    assert error_of(frames)[0] == "25P02"
+    assert find_error(frames)[0] == "25P02"
     assert await caller.query("COMMIT") == [(b"C", b"ROLLBACK\x00"), (b"Z", b"I")]
 
 
@@ -108,8 +108,8 @@
     await caller.query("BEGIN")
     await caller.query(INSERT.format("a"))
     frames = await caller.query("LISTEN news")
-    assert error_of(frames)[0] == "0A000" and frames[-1] == (b"Z", b"E")
-    assert error_of(await caller.query("SELECT 1"))[0] == "25P02"
+    assert find_error(frames)[0] == "0A000" and frames[-1] == (b"Z", b"E")
+    assert find_error(await caller.query("SELECT 1"))[0] == "25P02"
     assert await caller.query("ROLLBACK") == [(b"C", b"ROLLBACK\x00"), (b"Z", b"I")]
     assert proxy.count_rows("up-1", "a") == 0
 
@@ -130,9 +130,9 @@
 async def test_what_a_pooled_connection_can_not_keep_is_refused(proxy, sql):
     caller = await proxy.start_wire()
     frames = await caller.query(sql)
-    sqlstate, detail = error_of(frames)
+    sqlstate, detail = find_error(frames)
     assert sqlstate == "0A000" and detail.startswith("ran=no")
-    assert kinds(await caller.query("SELECT 1")) == "TDCZ"
+    assert join_kinds(await caller.query("SELECT 1")) == "TDCZ"
 
 
 @pytest.mark.parametrize(
@@ -152,7 +152,7 @@
 )
 async def test_settings_that_change_nothing_are_accepted(proxy, sql):
     caller = await proxy.start_wire()
-    assert kinds(await caller.query(sql)) == "CZ"
+    assert join_kinds(await caller.query(sql)) == "CZ"
 
 
 async def test_a_read_is_tried_once_more_while_nothing_was_sent(proxy, monkeypatch):
@@ -168,7 +168,7 @@
     monkeypatch.setattr(UpstreamConnection, "pop_message", lambda connection: None)
     caller = await proxy.start_wire()
     monkeypatch.setattr(UpstreamConnection, "read_message", lose_once)
-    assert kinds(await caller.query(COUNT)) == "TDCZ"
+    assert join_kinds(await caller.query(COUNT)) == "TDCZ"
     assert len(lost) == 1
 
 
@@ -224,9 +224,9 @@
     check_sessions(proxy.sessions, now_s() + limit_s + 1)
     assert proxy.pool().busy_count == 0
     frames = await caller.query("SELECT 1")
-    assert error_of(frames)[0] == "25P03" and frames[-1] == (b"Z", b"E")
+    assert find_error(frames)[0] == "25P03" and frames[-1] == (b"Z", b"E")
     await caller.query("COMMIT")
-    assert kinds(await caller.query(COUNT)) == "TDCZ"
+    assert join_kinds(await caller.query(COUNT)) == "TDCZ"
     assert proxy.count_rows("up-1", "a") == 0
 
 
@@ -239,7 +239,7 @@
     await wait_until(lambda: proxy.sessions[0].phase == "upstream")
     check_sessions(proxy.sessions, now_s() + proxy.group.section.answer_wait_s + 1)
     frames = await running
-    assert error_of(frames)[0] == "08006" and frames[-1] == (b"Z", b"E")
+    assert find_error(frames)[0] == "08006" and frames[-1] == (b"Z", b"E")
     proxy.standins.thaw("up-1")
 
 
--- a/ebonyrack/callers/startup_test.py
+++ b/ebonyrack/callers/startup_test.py
@@ -10,8 +10,8 @@
 from ebonyrack.callers.conftest import GROUP
 from ebonyrack.callers.conftest import PASSWORD
 from ebonyrack.callers.conftest import USER
-from ebonyrack.callers.conftest import error_of
-from ebonyrack.callers.conftest import kinds
+from ebonyrack.callers.conftest import find_error
+from ebonyrack.callers.conftest import join_kinds
 from ebonyrack.callers.conftest import open_proxy
 from ebonyrack.callers.conftest import wait_until
 from ebonyrack.callers.startup import parse_options
@@ -28,8 +28,8 @@
     for request in requests:
         caller.send(request().to_wire())
         assert await caller.reader.readexactly(1) == b"N"
-    frames = await caller.ask(START)
-    assert kinds(frames).startswith("RS") and kinds(frames).endswith("KZ")
+    frames = await caller.send_and_read(START)
+    assert join_kinds(frames).startswith("RS") and join_kinds(frames).endswith("KZ")
 
 
 async def test_a_caller_that_insists_on_tls_is_told_cleanly(proxy):
@@ -43,9 +43,9 @@
         params={"user": USER, "database": GROUP, "_pq_.new": "1"},
         protocol_version=(3 << 16) + 2,
     )
-    frames = await caller.ask(message.to_wire())
+    frames = await caller.send_and_read(message.to_wire())
     assert frames[0] == (b"v", struct.pack("!II", 0, 1) + b"_pq_.new\x00")
-    assert kinds(frames).endswith("KZ")
+    assert join_kinds(frames).endswith("KZ")
 
 
 async def test_the_password_is_checked():
@@ -77,7 +77,7 @@
     frames = [await caller.read_frame()]
     while frames[-1][0] != b"E":
         frames.append(await caller.read_frame())
-    assert error_of(frames)[0] == sqlstate
+    assert find_error(frames)[0] == sqlstate
     assert await caller.read_to_end() == b""
 
 
--- a/ebonyrack/callers/statement_rules.py
+++ b/ebonyrack/callers/statement_rules.py
@@ -15,8 +15,8 @@
 from ebonyrack.callers.statement_kinds import Statement
 from ebonyrack.callers.statement_kinds import StatementKind
 from ebonyrack.callers.statement_kinds import refuse
-from ebonyrack.callers.tree_examination import examine_tree
-from ebonyrack.callers.tree_examination import read_function_name
+from ebonyrack.callers.tree_inspection import examine_tree
+from ebonyrack.callers.tree_inspection import read_function_name
 from ebonyrack.core.registry import Registry
 
 # Bit of the parser for a cursor WITH HOLD.
--- a/ebonyrack/callers/statement_store.py
+++ b/ebonyrack/callers/statement_store.py
@@ -29,17 +29,17 @@
         self.statements: dict[bytes, PreparedStatement] = {}
         self.statement_bytes = 0
 
-    def note_closed(self, chunk: Chunk) -> None:
+    def remove_closed(self, chunk: Chunk) -> None:
         """Forget the statements that a chunk closes.
 
         Args:
             chunk: A chunk that has run.
         """
         for item in chunk.items:
-            if item.message.kind == b"C" and item.message.is_about_statement:
-                self.forget(item.message.statement)
+            if item.message.kind == b"C" and item.message.targets_statement:
+                self.remove(item.message.statement)
 
-    def note_defined(self, chunk: Chunk) -> None:
+    def add_prepared(self, chunk: Chunk) -> None:
         """Keep the statements that a chunk has prepared.
 
         Args:
@@ -50,9 +50,9 @@
         """
         for step, name, prepared in chunk.definitions:
             if step.is_done:
-                self.define(name, prepared)
+                self.add(name, prepared)
 
-    def define(self, name: bytes, prepared: PreparedStatement) -> None:
+    def add(self, name: bytes, prepared: PreparedStatement) -> None:
         """Keep a prepared statement.
 
         Args:
@@ -73,7 +73,7 @@
         self.statement_bytes += added_bytes
         self.statements[name] = prepared
 
-    def forget(self, name: bytes) -> None:
+    def remove(self, name: bytes) -> None:
         """Drop a prepared statement, if there is one of that name.
 
         Args:
@@ -83,7 +83,7 @@
         if known is not None:
             self.statement_bytes -= len(known.body)
 
-    def forget_all(self) -> None:
+    def clear(self) -> None:
         """Drop all prepared statements."""
         self.statements.clear()
         self.statement_bytes = 0
--- a/ebonyrack/callers/transaction.py
+++ b/ebonyrack/callers/transaction.py
@@ -293,7 +293,7 @@
         connection = session.connection
         if connection is not None and not connection.is_clean:
             if connection.pending_replies > 0 and not connection.is_closed:
-                session.stop_statement(connection)
+                session.cancel_statement(connection)
             connection.close()
         session.release_connection()
 
--- a/ebonyrack/callers/upstream_use.py
+++ b/ebonyrack/callers/upstream_use.py
@@ -5,7 +5,7 @@
 import asyncio
 from typing import TYPE_CHECKING
 
-from ebonyrack.callers.answers import build_parameter
+from ebonyrack.callers.answers import build_parameter_status
 from ebonyrack.callers.position_question import build_position_question
 from ebonyrack.callers.position_question import read_position
 from ebonyrack.callers.variables import TOKEN
@@ -40,7 +40,7 @@
     """
     variables = session.variables
     return ReadRequirement(
-        minimum=variables.token_minimum,
+        minimum=variables.token_position,
         max_age_s=variables.maximum_age_s,
         own_writes=variables.own_writes,
         wrote_at_s=variables.wrote_at_s,
@@ -163,7 +163,7 @@
         raise session.lose_upstream(error, ErrorKind.OUTCOME_UNKNOWN) from error
     session.release_connection()
     await group.confirm(position, now_s() + group.section.confirm_wait_s)
-    session.variables.note_write(position)
+    session.variables.record_write(position)
 
 
 async def finish_write(
@@ -184,7 +184,7 @@
     group = session.group
     deadline_s = now_s() + group.section.confirm_wait_s
     await acknowledge_write(group, connection, position, deadline_s)
-    session.variables.note_write(position)
+    session.variables.record_write(position)
 
 
 def write_token(session: CallerSession) -> None:
@@ -195,4 +195,4 @@
     """
     token = session.variables.build_token()
     if token:
-        session.stream.write(build_parameter(TOKEN, token))
+        session.stream.write(build_parameter_status(TOKEN, token))
--- a/ebonyrack/callers/variables.py
+++ b/ebonyrack/callers/variables.py
@@ -54,7 +54,7 @@
     Attributes:
         group: Name of the session's database group.
         token_key: Key that signs tokens.
-        token_minimum: Position from a token that the caller handed over, or None.
+        token_position: Position from a token that the caller handed over, or None.
         own_writes: Position of the last write acknowledged in this session.
         wrote_at_s: Monotonic time of that acknowledgement, or None.
         other_positions: Positions of other groups from the caller's token.
@@ -67,7 +67,7 @@
     __slots__ = (
         "group",
         "token_key",
-        "token_minimum",
+        "token_position",
         "own_writes",
         "wrote_at_s",
         "other_positions",
@@ -80,7 +80,7 @@
     def __init__(self, group: str, token_key: bytes) -> None:
         self.group = group
         self.token_key = token_key
-        self.token_minimum: LogPosition | None = None
+        self.token_position: LogPosition | None = None
         self.own_writes: LogPosition = LOG_START
         self.wrote_at_s: float | None = None
         self.other_positions: dict[str, LogPosition] | None = None
@@ -121,7 +121,7 @@
             RequestError: BAD_TOKEN.
         """
         positions = dict(read_token(self.token_key, value)) if value else {}
-        self.token_minimum = positions.pop(self.group, None)
+        self.token_position = positions.pop(self.group, None)
         self.other_positions = positions or None
 
     def set_idempotency_key(self, value: str) -> None:
@@ -182,7 +182,7 @@
             return KNOWN_SETTINGS[name][0]
         raise RequestError(ErrorKind.UNSUPPORTED, f"SHOW {name}")
 
-    def note_write(self, position: LogPosition) -> None:
+    def record_write(self, position: LogPosition) -> None:
         """Keep the position of an acknowledged write.
 
         Args:
@@ -194,7 +194,7 @@
     def build_token(self) -> str:
         """Build the token of the session, empty if it has no position to keep."""
         positions = dict(self.other_positions or {})
-        own = max(self.own_writes, self.token_minimum or LOG_START)
+        own = max(self.own_writes, self.token_position or LOG_START)
         if own > LOG_START:
             positions[self.group] = own
         return build_token(self.token_key, positions) if positions else ""
--- a/ebonyrack/callers/writing.py
+++ b/ebonyrack/callers/writing.py
@@ -4,11 +4,11 @@
 
 from typing import TYPE_CHECKING
 
-from ebonyrack.callers.answers import build_parameter
+from ebonyrack.callers.answers import build_parameter_status
 from ebonyrack.callers.claim import claim_session_key
 from ebonyrack.callers.commit import send_commit
-from ebonyrack.callers.own_request import OWN_BEGIN
-from ebonyrack.callers.own_request import OWN_COMMIT
+from ebonyrack.callers.internal_request import INTERNAL_BEGIN
+from ebonyrack.callers.internal_request import INTERNAL_COMMIT
 from ebonyrack.callers.recorded_answer import COMMIT_TAG
 from ebonyrack.callers.recorded_answer import build_repeat
 from ebonyrack.callers.recorded_answer import encode_answer
@@ -110,7 +110,7 @@
     """
     await take_primary(session)
     try:
-        outcome = await claim_session_key(session, key, OWN_BEGIN)
+        outcome = await claim_session_key(session, key, INTERNAL_BEGIN)
         if outcome is not None:
             return await replay(session, request, outcome)
         return await relay_keyed_write(session, request, key)
@@ -135,7 +135,7 @@
     """
     await confirm_replay(session)
     session.stream.write(build_repeat(session.identity.application, request, outcome))
-    session.stream.write(build_parameter(REPLAYED, "on"))
+    session.stream.write(build_parameter_status(REPLAYED, "on"))
     write_token(session)
     return True
 
@@ -173,7 +173,7 @@
     if not await commit_keyed_write(session, record):
         return False
     session.stream.write(relay.output)
-    session.stream.write(build_parameter(REPLAYED, "off"))
+    session.stream.write(build_parameter_status(REPLAYED, "off"))
     write_token(session)
     return True
 
@@ -221,7 +221,7 @@
     await session.await_cancel()
     session.is_committing = True
     try:
-        answer = await send_commit(session, OWN_COMMIT, record)
+        answer = await send_commit(session, INTERNAL_COMMIT, record)
     finally:
         session.is_committing = False
     session.note_served()
