--- a/ebonyrack/callers/cancel.py
+++ b/ebonyrack/callers/cancel.py
@@ -8,7 +8,7 @@
 
 from loguru import logger
 
-from ebonyrack.callers.upstream_holder import Phase
+from ebonyrack.callers.upstream_holder import SessionPhase
 from ebonyrack.upstreams.connection import UpstreamLostError
 
 if TYPE_CHECKING:
@@ -47,11 +47,11 @@
         session: The session.
     """
     logger.bind(session=session.number).info("cancel_requested")
-    if session.scope is not None:
-        session.scope.reschedule(asyncio.get_running_loop().time())
+    if session.cancel_scope is not None:
+        session.cancel_scope.reschedule(asyncio.get_running_loop().time())
         return
     connection = session.connection
-    if connection is None or session.phase is not Phase.UPSTREAM:
+    if connection is None or session.phase is not SessionPhase.UPSTREAM:
         return
     if not session.is_committing and session.cancel_done is None:
         await forward(session, connection)
--- a/ebonyrack/callers/chunk.py
+++ b/ebonyrack/callers/chunk.py
@@ -112,7 +112,7 @@
         return Exchange(bytes(renderer.data), renderer.steps)
 
     @property
-    def form(self) -> bytes:
+    def answer_format(self) -> bytes:
         """Digest of what is executed and of how its answer is described and laid out.
 
         Whether a statement is parsed along with it or was prepared before makes no
--- a/ebonyrack/callers/exchange.py
+++ b/ebonyrack/callers/exchange.py
@@ -75,7 +75,7 @@
         """
 
     @property
-    def form(self) -> bytes:
+    def answer_format(self) -> bytes:
         """What the layout of its answer depends on, for a repeat to compare."""
 
     def build_replay(self, tags: Sequence[str], frames: Sequence[bytes] = ()) -> bytes:
@@ -105,7 +105,7 @@
         return Exchange(self.raw)
 
     @property
-    def form(self) -> bytes:
+    def answer_format(self) -> bytes:
         """The same for all simple queries, whose answers describe themselves."""
         return b"Q"
 
--- a/ebonyrack/callers/fault_matrix_test.py
+++ b/ebonyrack/callers/fault_matrix_test.py
@@ -128,7 +128,7 @@
     "answer half way": (
         strike_after,
         Relay,
-        "accept",
+        "process_message",
         lambda relay, message: message.kind == b"D",
     ),
     "COMMIT sent": (strike_after, UpstreamConnection, "send", sends("COMMIT")),
--- a/ebonyrack/callers/overlapping.py
+++ b/ebonyrack/callers/overlapping.py
@@ -13,7 +13,7 @@
 from ebonyrack.callers.read_steps import end_read
 from ebonyrack.callers.read_steps import take_for_read
 from ebonyrack.callers.relay import Relay
-from ebonyrack.callers.upstream_holder import Phase
+from ebonyrack.callers.upstream_holder import SessionPhase
 from ebonyrack.core.errors import ErrorKind
 from ebonyrack.core.errors import RequestError
 from ebonyrack.routing.read_overlap import choose_overlap
@@ -65,7 +65,7 @@
         session.stream.write(relay.output)
         return relay.error is None
     finally:
-        session.transaction.abandon()
+        session.transaction.release()
 
 
 async def send_overlapped(
@@ -100,9 +100,9 @@
     except UpstreamLostError as error:
         raise break_read(session, overlap.replica, error, False) from error
     # A cancel request that comes now is meant for the read, which runs already.
-    session.enter(Phase.UPSTREAM)
+    session.enter_phase(SessionPhase.UPSTREAM)
     placement = await overlap.validate(status)
-    session.enter(Phase.WORKING)
+    session.enter_phase(SessionPhase.WORKING)
     if placement is not None:
         return relay
     if connection.is_cancelled:
@@ -122,7 +122,7 @@
     with contextlib.suppress(UpstreamLostError):
         message = relay.connection.pop_message()
         while message is not None and message.kind != b"Z":
-            relay.accept(message)
+            relay.process_message(message)
             message = relay.connection.pop_message()
 
 
--- a/ebonyrack/callers/own_request.py
+++ b/ebonyrack/callers/own_request.py
@@ -31,7 +31,7 @@
         return Exchange(build_query(self.sql), deque([SWALLOWED]))
 
     @property
-    def form(self) -> bytes:
+    def answer_format(self) -> bytes:
         """Empty: it is never repeated under a key."""
         return b""
 
--- a/ebonyrack/callers/pipeline.py
+++ b/ebonyrack/callers/pipeline.py
@@ -70,7 +70,7 @@
         """Whether messages have come that no Sync has closed yet."""
         return bool(self.items) or self.is_skipping or self.has_unsynced
 
-    async def accept(self, frame: Message) -> None:
+    async def process_message(self, frame: Message) -> None:
         """Take a message and run what is due.
 
         Args:
--- a/ebonyrack/callers/reading.py
+++ b/ebonyrack/callers/reading.py
@@ -98,7 +98,7 @@
     try:
         return await relay_read(session, request, placement)
     finally:
-        session.transaction.abandon()
+        session.transaction.release()
 
 
 async def relay_read(
--- a/ebonyrack/callers/recorded_answer.py
+++ b/ebonyrack/callers/recorded_answer.py
@@ -80,7 +80,7 @@
     Returns:
         The form.
     """
-    return application.encode() + b"\x00" + request.form
+    return application.encode() + b"\x00" + request.answer_format
 
 
 def split_frames(data: bytes | bytearray) -> Iterator[bytes]:
--- a/ebonyrack/callers/relay.py
+++ b/ebonyrack/callers/relay.py
@@ -100,7 +100,7 @@
                 message = await self.session.wait_for_message(self.connection)
             if message.kind == b"Z":
                 return
-            self.accept(message)
+            self.process_message(message)
             if len(self.output) >= FLUSH_BYTES:
                 await self.flush()
 
@@ -124,7 +124,7 @@
             self.connection.close()
             raise UpstreamLostError("the answer is too large to be held")
 
-    def accept(self, message: Message) -> None:
+    def process_message(self, message: Message) -> None:
         """Take one message of the answer.
 
         Args:
--- a/ebonyrack/callers/session.py
+++ b/ebonyrack/callers/session.py
@@ -17,7 +17,7 @@
 from ebonyrack.callers.statement import classify_statement
 from ebonyrack.callers.transaction import Transaction
 from ebonyrack.callers.transaction_status import IDLE
-from ebonyrack.callers.upstream_holder import Phase
+from ebonyrack.callers.upstream_holder import SessionPhase
 from ebonyrack.callers.upstream_holder import UpstreamHolder
 from ebonyrack.core import metrics
 from ebonyrack.core.clock import now_s
@@ -91,7 +91,7 @@
                 await self.handle(frame)
                 await self.drain_caller()
         finally:
-            self.transaction.abandon()
+            self.transaction.release()
 
     async def read_request(self) -> Message | None:
         """Wait for the next frame of the caller.
@@ -105,9 +105,9 @@
         limit = self.settings.maximum_message_bytes
         frame = self.stream.take_frame(limit)
         if frame is None:
-            self.enter(Phase.IDLE)
+            self.enter_phase(SessionPhase.IDLE)
             frame = await self.stream.read_frame(limit)
-        self.enter(Phase.WORKING)
+        self.enter_phase(SessionPhase.WORKING)
         return frame
 
     @property
@@ -135,7 +135,7 @@
 
     def end_idle(self) -> None:
         """End the session unasked, if it waits for a request (for a shutdown)."""
-        if self.phase is not Phase.IDLE or not self.is_between_requests:
+        if self.phase is not SessionPhase.IDLE or not self.is_between_requests:
             return
         if self.stream.buffer or self.stream.is_lost or self.stream.is_finished:
             return
@@ -150,9 +150,9 @@
     async def drain_caller(self) -> None:
         """Wait until the caller has taken most of its answer."""
         if self.stream.is_writing_paused:
-            self.enter(Phase.CALLER)
+            self.enter_phase(SessionPhase.CALLER)
             await self.stream.drain()
-            self.phase = Phase.WORKING
+            self.phase = SessionPhase.WORKING
 
     async def handle(self, frame: Message) -> None:
         """Serve one frame of the caller.
@@ -168,7 +168,7 @@
         elif frame.kind in PIPELINE_KINDS:
             if self.pipeline is None:
                 self.pipeline = Pipeline(self)
-            await self.pipeline.accept(frame)
+            await self.pipeline.process_message(frame)
         elif frame.kind == b"F":
             self.fail(RequestError(ErrorKind.UNSUPPORTED, "function call"))
             self.write_ready()
--- a/ebonyrack/callers/session_drain.py
+++ b/ebonyrack/callers/session_drain.py
@@ -8,7 +8,7 @@
 from loguru import logger
 
 from ebonyrack.callers.transaction_status import IDLE
-from ebonyrack.callers.upstream_holder import Phase
+from ebonyrack.callers.upstream_holder import SessionPhase
 from ebonyrack.core.clock import now_s
 
 if TYPE_CHECKING:
@@ -57,4 +57,4 @@
     Args:
         session: The session.
     """
-    return session.phase is not Phase.IDLE or session.transaction.status != IDLE
+    return session.phase is not SessionPhase.IDLE or session.transaction.status != IDLE
--- a/ebonyrack/callers/transaction.py
+++ b/ebonyrack/callers/transaction.py
@@ -238,7 +238,7 @@
             return await commit_read(session, request)
         except RequestError:
             # The transaction is over for the caller, whatever became of it.
-            self.abandon()
+            self.release()
             self.reset()
             raise
         finally:
@@ -284,10 +284,10 @@
         """Roll back after an error of the proxy."""
         if self.status == IDLE:
             return
-        self.abandon()
+        self.release()
         self.status = FAILED
 
-    def abandon(self) -> None:
+    def release(self) -> None:
         """Give the connection back; a transaction open on it is cut off."""
         session = self.session
         connection = session.connection
--- a/ebonyrack/callers/upstream_holder.py
+++ b/ebonyrack/callers/upstream_holder.py
@@ -31,7 +31,7 @@
 Result = TypeVar("Result")
 
 
-class Phase(StrEnum):
+class SessionPhase(StrEnum):
     """What a session waits for."""
 
     IDLE = "idle"
@@ -53,7 +53,7 @@
         connection: That connection, or None.
         phase: What the session waits for.
         phase_since_s: Monotonic time at which the wait began.
-        scope: Scope of a wait before anything was sent, ended to cancel it, or None.
+        cancel_scope: Timeout that is expired to cancel a wait, or None.
         is_committing: Whether a COMMIT was sent, which is not cancelled any more.
         cancel_done: Set when a cancel request has reached the upstream, or None.
         has_stale_statements: Whether the connection held is closed after use, since
@@ -68,7 +68,7 @@
         "connection",
         "phase",
         "phase_since_s",
-        "scope",
+        "cancel_scope",
         "is_committing",
         "cancel_done",
         "has_stale_statements",
@@ -80,9 +80,9 @@
         self.variables = SessionVariables(identity.group, services.token_key)
         self.upstream: Upstream | None = None
         self.connection: UpstreamConnection | None = None
-        self.phase = Phase.IDLE
+        self.phase = SessionPhase.IDLE
         self.phase_since_s = now_s()
-        self.scope: asyncio.Timeout | None = None
+        self.cancel_scope: asyncio.Timeout | None = None
         self.is_committing = False
         self.cancel_done: asyncio.Event | None = None
         self.has_stale_statements = False
@@ -109,7 +109,7 @@
         """Settings of the proxy."""
         return self.services.settings.proxy
 
-    def enter(self, phase: Phase) -> None:
+    def enter_phase(self, phase: SessionPhase) -> None:
         """Note what the session waits for from now on.
 
         Args:
@@ -130,9 +130,9 @@
         Raises:
             UpstreamLostError: If the connection has ended.
         """
-        self.enter(Phase.UPSTREAM)
+        self.enter_phase(SessionPhase.UPSTREAM)
         message = await connection.read_message()
-        self.phase = Phase.WORKING
+        self.phase = SessionPhase.WORKING
         return message
 
     async def await_cancel(self) -> None:
@@ -151,9 +151,9 @@
             UpstreamLostError: If the connection has ended.
         """
         assert self.connection is not None
-        self.enter(Phase.UPSTREAM)
+        self.enter_phase(SessionPhase.UPSTREAM)
         answer = await self.connection.read_answer()
-        self.phase = Phase.WORKING
+        self.phase = SessionPhase.WORKING
         return answer
 
     async def wait_before_sending(self, waiting: Awaitable[Result]) -> Result:
@@ -169,12 +169,12 @@
             RequestError: CANCELLED if the caller asked for it.
         """
         try:
-            async with asyncio.timeout(None) as self.scope:
+            async with asyncio.timeout(None) as self.cancel_scope:
                 return await waiting
         except TimeoutError:
             raise RequestError(ErrorKind.CANCELLED) from None
         finally:
-            self.scope = None
+            self.cancel_scope = None
 
     def hold_connection(
         self, upstream: Upstream, connection: UpstreamConnection
--- a/ebonyrack/callers/watchdog.py
+++ b/ebonyrack/callers/watchdog.py
@@ -7,7 +7,7 @@
 
 from loguru import logger
 
-from ebonyrack.callers.upstream_holder import Phase
+from ebonyrack.callers.upstream_holder import SessionPhase
 from ebonyrack.core.clock import now_s
 from ebonyrack.core.errors import RequestError
 
@@ -56,14 +56,19 @@
     except RequestError:
         # The group has left the document; its upstreams close the connections.
         return
-    if session.phase is Phase.UPSTREAM and waited_s > section.answer_wait_s:
+    if session.phase is SessionPhase.UPSTREAM and waited_s > section.answer_wait_s:
         log_end(session, "answer_wait", waited_s)
         assert session.connection is not None
         session.connection.close()
-    elif session.phase is Phase.IDLE and waited_s > section.idle_in_transaction_s:
+    elif (
+        session.phase is SessionPhase.IDLE and waited_s > section.idle_in_transaction_s
+    ):
         log_end(session, "idle_in_transaction", waited_s)
         session.transaction.expire()
-    elif session.phase is Phase.CALLER and waited_s > section.idle_in_transaction_s:
+    elif (
+        session.phase is SessionPhase.CALLER
+        and waited_s > section.idle_in_transaction_s
+    ):
         log_end(session, "caller_takes_no_answer", waited_s)
         session.stream.abort()
 
--- a/ebonyrack/callers/writing.py
+++ b/ebonyrack/callers/writing.py
@@ -56,7 +56,7 @@
         return await relay_write(session, request)
     finally:
         if session.transaction.status == IDLE:
-            session.transaction.abandon()
+            session.transaction.release()
 
 
 async def relay_write(session: CallerSession, request: Request) -> bool:
@@ -115,7 +115,7 @@
             return await replay(session, request, outcome)
         return await relay_keyed_write(session, request, key)
     finally:
-        session.transaction.abandon()
+        session.transaction.release()
 
 
 async def replay(session: CallerSession, request: Request, outcome: str) -> bool:
