--- a/ebonyrack/callers/chunk.py
+++ b/ebonyrack/callers/chunk.py
@@ -11,10 +11,10 @@
 from pygwire.messages import Sync
 
 from ebonyrack.callers.chunk_renderer import ChunkRenderer
-from ebonyrack.callers.chunk_replay import ANSWERED_KINDS
+from ebonyrack.callers.chunk_replay import ANSWER_END_KINDS
 from ebonyrack.callers.chunk_replay import PARSE_COMPLETE
-from ebonyrack.callers.chunk_replay import build_recorded
-from ebonyrack.callers.chunk_replay import build_tagged
+from ebonyrack.callers.chunk_replay import build_answer_from_frames
+from ebonyrack.callers.chunk_replay import build_answer_from_tags
 from ebonyrack.callers.exchange import Completion
 from ebonyrack.callers.exchange import Exchange
 from ebonyrack.callers.exchange import Step
@@ -30,10 +30,10 @@
     from ebonyrack.upstreams.connection import UpstreamConnection
 
 SYNC = Sync().to_wire()
-FORM_BYTES = 16
+ANSWER_FORMAT_BYTES = 16
 
-READS = Statement(StatementKind.READ)
-WRITES = Statement(StatementKind.WRITE)
+READ_STATEMENT = Statement(StatementKind.READ)
+WRITE_STATEMENT = Statement(StatementKind.WRITE)
 
 
 @dataclass(frozen=True, slots=True)
@@ -76,11 +76,11 @@
                 and item.prepared.statement.kind is StatementKind.READ
             )
             if item.message.kind == b"E" and not is_read:
-                return WRITES
-        return READS
+                return WRITE_STATEMENT
+        return READ_STATEMENT
 
     @property
-    def makes_portals(self) -> bool:
+    def uses_portals(self) -> bool:
         """Whether anything is bound or executed, which ends with its transaction."""
         return any(item.message.kind in (b"B", b"E") for item in self.items)
 
@@ -105,9 +105,9 @@
         """
         self.definitions = []
         renderer = ChunkRenderer(connection, self)
-        renderer.evict()
+        renderer.evict_statements()
         for item in self.items:
-            renderer.add(item)
+            renderer.add_message(item)
         renderer.data += SYNC
         return Exchange(bytes(renderer.data), renderer.steps)
 
@@ -118,10 +118,10 @@
         Whether a statement is parsed along with it or was prepared before makes no
         difference.
         """
-        digest = hashlib.blake2b(digest_size=FORM_BYTES)
+        digest = hashlib.blake2b(digest_size=ANSWER_FORMAT_BYTES)
         for item in self.items:
             message = item.message
-            if message.kind in ANSWERED_KINDS:
+            if message.kind in ANSWER_END_KINDS:
                 digest.update(message.kind + message.target)
             if message.kind == b"E":
                 digest.update(message.rest)
@@ -147,5 +147,5 @@
             if item.message.kind == b"P" and item.prepared is not None
         ]
         if frames:
-            return build_recorded(self.items, deque(frames))
-        return build_tagged(self.items, deque(tags))
+            return build_answer_from_frames(self.items, deque(frames))
+        return build_answer_from_tags(self.items, deque(tags))
--- a/ebonyrack/callers/chunk_renderer.py
+++ b/ebonyrack/callers/chunk_renderer.py
@@ -31,21 +31,21 @@
         chunk: The chunk.
         data: Frames so far.
         steps: Steps of their answers.
-        parsed: Names that the frames so far prepare.
+        parsed_names: Names that the frames so far prepare.
         unnamed: The unnamed statement as it stands on the connection, or None.
     """
 
-    __slots__ = ("connection", "chunk", "data", "steps", "parsed", "unnamed")
+    __slots__ = ("connection", "chunk", "data", "steps", "parsed_names", "unnamed")
 
     def __init__(self, connection: UpstreamConnection, chunk: Chunk) -> None:
         self.connection = connection
         self.chunk = chunk
         self.data = bytearray()
         self.steps: deque[Step] = deque()
-        self.parsed: set[str] = set()
+        self.parsed_names: set[str] = set()
         self.unnamed: PreparedStatement | None = None
 
-    def evict(self) -> None:
+    def evict_statements(self) -> None:
         """Close the statements used longest ago, if the connection has many."""
         prepared = self.connection.prepared
         while len(prepared) >= MAXIMUM_PREPARED:
@@ -53,7 +53,7 @@
             self.data += build_frame(b"C", b"S" + name.encode() + b"\x00")
             self.steps.append(SWALLOWED)
 
-    def add(self, item: ChunkItem) -> None:
+    def add_message(self, item: ChunkItem) -> None:
         """Add the frames of one message.
 
         Args:
@@ -69,11 +69,11 @@
         frame = message.raw
         prepared = item.prepared
         if prepared is not None and message.kind == b"B":
-            self.ensure(prepared)
+            self.ensure_prepared(prepared)
             names = message.portal + b"\x00" + prepared.upstream_name + b"\x00"
             frame = build_frame(b"B", names + message.rest)
         elif prepared is not None and message.is_about_statement:
-            self.ensure(prepared)
+            self.ensure_prepared(prepared)
             frame = build_frame(b"D", b"S" + prepared.upstream_name + b"\x00")
         self.data += frame
         self.steps.append(RELAYED)
@@ -86,23 +86,23 @@
         """
         prepared = item.prepared
         assert prepared is not None
-        if self.is_known(prepared):
+        if self.is_prepared(prepared):
             step = Step(Completion.LOCAL, PARSE_COMPLETE)
         else:
-            step = self.parse(prepared, Completion.RELAY)
+            step = self.add_parse_frame(prepared, Completion.RELAY)
         self.steps.append(step)
         self.chunk.definitions.append((step, item.message.statement, prepared))
 
-    def ensure(self, prepared: PreparedStatement) -> None:
+    def ensure_prepared(self, prepared: PreparedStatement) -> None:
         """Prepare a statement unless the connection knows it.
 
         Args:
             prepared: The statement.
         """
-        if not self.is_known(prepared):
-            self.steps.append(self.parse(prepared, Completion.SWALLOW))
+        if not self.is_prepared(prepared):
+            self.steps.append(self.add_parse_frame(prepared, Completion.SWALLOW))
 
-    def is_known(self, prepared: PreparedStatement) -> bool:
+    def is_prepared(self, prepared: PreparedStatement) -> bool:
         """Tell whether a statement is prepared at this point.
 
         Args:
@@ -117,9 +117,11 @@
         if name in self.connection.prepared:
             self.connection.prepared.move_to_end(name)
             return True
-        return name in self.parsed
+        return name in self.parsed_names
 
-    def parse(self, prepared: PreparedStatement, completion: Completion) -> Step:
+    def add_parse_frame(
+        self, prepared: PreparedStatement, completion: Completion
+    ) -> Step:
         """Add the frame that prepares a statement.
 
         Args:
@@ -132,7 +134,7 @@
         self.data += prepared.build_parse()
         name = prepared.upstream_name.decode()
         if name:
-            self.parsed.add(name)
+            self.parsed_names.add(name)
         else:
             self.unnamed = prepared
         return Step(completion, prepares=name)
--- a/ebonyrack/callers/chunk_replay.py
+++ b/ebonyrack/callers/chunk_replay.py
@@ -29,10 +29,10 @@
     b"D": NO_DATA,
 }
 # Kinds of messages whose answer is recorded, and the kinds of frames that end it.
-ANSWERED_KINDS = {b"D": frozenset({b"T", b"n"}), b"E": frozenset({b"C", b"I", b"s"})}
+ANSWER_END_KINDS = {b"D": frozenset({b"T", b"n"}), b"E": frozenset({b"C", b"I", b"s"})}
 
 
-def build_tagged(items: list[ChunkItem], tags: deque[str]) -> bytes:
+def build_answer_from_tags(items: list[ChunkItem], tags: deque[str]) -> bytes:
     """Build the answer to commands that answer no rows.
 
     Args:
@@ -54,7 +54,7 @@
     return bytes(answer)
 
 
-def build_recorded(items: list[ChunkItem], frames: deque[bytes]) -> bytes:
+def build_answer_from_frames(items: list[ChunkItem], frames: deque[bytes]) -> bytes:
     """Build the answer from frames that were recorded for the same messages.
 
     Args:
@@ -66,7 +66,7 @@
     """
     answer = bytearray()
     for item in items:
-        last_kinds = ANSWERED_KINDS.get(item.message.kind)
+        last_kinds = ANSWER_END_KINDS.get(item.message.kind)
         if last_kinds is None:
             answer += LOCAL_ANSWERS[item.message.kind]
             continue
--- a/ebonyrack/callers/claim.py
+++ b/ebonyrack/callers/claim.py
@@ -35,5 +35,5 @@
         limit_s = session.group.section.answer_wait_s
         claimed = await claim_key(connection, key, limit_s, begin)
     except UpstreamLostError as error:
-        raise session.lose_upstream(error, ErrorKind.UPSTREAM_LOST) from error
+        raise session.handle_upstream_lost(error, ErrorKind.UPSTREAM_LOST) from error
     return None if claimed.is_first else claimed.outcome
--- a/ebonyrack/callers/commit.py
+++ b/ebonyrack/callers/commit.py
@@ -8,15 +8,15 @@
 from pygwire.messages import ErrorResponse
 
 from ebonyrack.callers.answers import build_query
-from ebonyrack.callers.position_question import ask_last_commit
-from ebonyrack.callers.position_question import build_position_question
-from ebonyrack.callers.position_question import get_contract
-from ebonyrack.callers.position_question import read_position
+from ebonyrack.callers.position_query import build_position_query
+from ebonyrack.callers.position_query import get_contract
+from ebonyrack.callers.position_query import read_last_commit
+from ebonyrack.callers.position_query import read_position
 from ebonyrack.callers.recorded_answer import COMMIT_TAG
 from ebonyrack.callers.relay import Relay
-from ebonyrack.callers.upstream_use import confirm_read
-from ebonyrack.callers.upstream_use import finish_write
-from ebonyrack.callers.upstream_use import write_token
+from ebonyrack.callers.upstream_steps import confirm_read
+from ebonyrack.callers.upstream_steps import confirm_write
+from ebonyrack.callers.upstream_steps import report_token
 from ebonyrack.core.errors import ErrorKind
 from ebonyrack.core.errors import RequestError
 from ebonyrack.routing.idempotency import build_outcome_record
@@ -66,19 +66,19 @@
     connection = session.connection
     assert connection is not None
     exchange = request.render(connection)
-    relay = Relay(session, connection, exchange, holds=True)
-    question = get_contract(session).build_last_commit()
+    relay = Relay(session, connection, exchange, hold_completed=True)
+    query = get_contract(session).build_last_commit()
     ahead = build_query(record) if record else b""
-    session.send_surely(ahead + exchange.data, question)
+    session.send_with_query(ahead + exchange.data, query)
     refusal = None
     try:
         if record:
             refusal = await read_refusal(session, connection)
         await relay.run()
-        position = await ask_last_commit(session, question)
+        position = await read_last_commit(session, query)
     except UpstreamLostError as error:
         kind = ErrorKind.OUTCOME_UNKNOWN if refusal is None else refusal.kind
-        raise session.lose_upstream(error, kind) from error
+        raise session.handle_upstream_lost(error, kind) from error
     if refusal is not None:
         raise check_rolled_back(relay, refusal)
     return CommitAnswer(relay, position)
@@ -150,12 +150,12 @@
     answer = await send_commit(session, request, record)
     relay = answer.relay
     has_committed = relay.error is None and relay.tags != [ROLLBACK_TAG]
-    session.transaction.follow_status()
+    session.transaction.update_status()
     if has_committed:
-        await finish_write(session, connection, answer.position)
+        await confirm_write(session, connection, answer.position)
     session.stream.write(relay.output)
     if has_committed:
-        write_token(session)
+        report_token(session)
     return relay.error is None
 
 
@@ -171,13 +171,13 @@
     Raises:
         RequestError: OUTCOME_UNKNOWN if it can't be acknowledged.
     """
-    question = get_contract(session).build_last_commit()
+    query = get_contract(session).build_last_commit()
     try:
-        connection.send(build_query(question))
-        position = await ask_last_commit(session, question)
+        connection.send(build_query(query))
+        position = await read_last_commit(session, query)
     except UpstreamLostError as error:
-        raise session.lose_upstream(error, ErrorKind.OUTCOME_UNKNOWN) from error
-    await finish_write(session, connection, position)
+        raise session.handle_upstream_lost(error, ErrorKind.OUTCOME_UNKNOWN) from error
+    await confirm_write(session, connection, position)
 
 
 async def commit_read(session: CallerSession, request: Request) -> bool:
@@ -197,19 +197,19 @@
     connection = session.connection
     assert connection is not None
     exchange = request.render(connection)
-    relay = Relay(session, connection, exchange, holds=True)
+    relay = Relay(session, connection, exchange, hold_completed=True)
     transaction = session.transaction
     is_promoted = transaction.needs_replica and connection.is_standby is False
     needs_confirmation = transaction.needs_confirmation or is_promoted
-    question = build_position_question(session) if needs_confirmation else b""
+    query = build_position_query(session) if needs_confirmation else b""
     try:
-        connection.send(exchange.data + question)
+        connection.send(exchange.data + query)
         await relay.run()
         if needs_confirmation:
             position = await read_position(session)
     except UpstreamLostError as error:
-        raise session.lose_upstream(error, ErrorKind.UPSTREAM_LOST) from error
-    session.transaction.follow_status()
+        raise session.handle_upstream_lost(error, ErrorKind.UPSTREAM_LOST) from error
+    session.transaction.update_status()
     if needs_confirmation:
         await confirm_read(session, position)
     session.stream.write(relay.output)
--- a/ebonyrack/callers/control_chunk.py
+++ b/ebonyrack/callers/control_chunk.py
@@ -119,7 +119,7 @@
     return item.prepared.statement.kind in CONTROL_KINDS
 
 
-def split_items(items: list[ChunkItem]) -> list[Chunk]:
+def split_into_chunks(items: list[ChunkItem]) -> list[Chunk]:
     """Split messages where transaction control or a local statement stands.
 
     Args:
--- a/ebonyrack/callers/dispatch.py
+++ b/ebonyrack/callers/dispatch.py
@@ -76,7 +76,7 @@
         RequestError: If it could not be served.
     """
     transaction = session.transaction
-    transaction.raise_failure()
+    transaction.raise_pending_error()
     is_read = statement.kind is StatementKind.READ
     if transaction.status == IDLE:
         return await (run_read if is_read else run_write)(session, request)
@@ -103,11 +103,11 @@
     """
     transaction = session.transaction
     if statement.kind is StatementKind.ROLLBACK:
-        transaction.failure = None
+        transaction.pending_error = None
         return await transaction.roll_back(request)
     if statement.kind is StatementKind.COMMIT:
         return await transaction.commit(request)
-    transaction.raise_failure()
+    transaction.raise_pending_error()
     if transaction.status == FAILED:
         raise RequestError(ErrorKind.TRANSACTION_FAILED)
     if statement.kind is StatementKind.UNSUPPORTED:
@@ -131,7 +131,7 @@
     Raises:
         RequestError: If a value is not valid or the transaction has failed.
     """
-    session.transaction.raise_failure()
+    session.transaction.raise_pending_error()
     if statement.kind is StatementKind.EMPTY:
         return LocalAnswer(EMPTY_QUERY_FRAME)
     if session.transaction.status == FAILED:
--- a/ebonyrack/callers/fault_matrix_test.py
+++ b/ebonyrack/callers/fault_matrix_test.py
@@ -9,7 +9,7 @@
 import pytest
 from pygwire.messages import CancelRequest
 
-from ebonyrack.callers import upstream_use
+from ebonyrack.callers import upstream_steps
 from ebonyrack.callers.conftest import error_of
 from ebonyrack.callers.conftest import kinds
 from ebonyrack.callers.conftest import open_proxy
@@ -39,7 +39,7 @@
         proxy: The proxy.
         caller: The caller whose request meets the fault.
         fault: Name of the fault.
-        has_struck: Whether the step was reached.
+        is_injected: Whether the step was reached.
         tasks: What the fault goes on doing.
     """
 
@@ -47,7 +47,7 @@
         self.proxy = proxy
         self.caller = caller
         self.fault = fault
-        self.has_struck = False
+        self.is_injected = False
         self.tasks = []
 
     @property
@@ -55,10 +55,10 @@
         (session,) = (s for s in self.proxy.sessions if s.identity.user == "booking")
         return session
 
-    def strike(self):
+    def inject(self):
         """Bring the fault about, once."""
-        if not self.has_struck:
-            self.has_struck = True
+        if not self.is_injected:
+            self.is_injected = True
             getattr(self, self.fault)()
 
     def upstream_lost(self):
@@ -91,29 +91,29 @@
         await caller.read_to_end()
 
 
-def strike_before(monkeypatch, cell, owner, name, condition=lambda *values: True):
+def inject_before(monkeypatch, cell, owner, name, condition=lambda *values: True):
     """Let the fault strike before a method runs."""
     original = getattr(owner, name)
 
-    def struck(*values, **named):
+    def injecting(*values, **named):
         if condition(*values):
-            cell.strike()
+            cell.inject()
         return original(*values, **named)
 
-    monkeypatch.setattr(owner, name, struck)
+    monkeypatch.setattr(owner, name, injecting)
 
 
-def strike_after(monkeypatch, cell, owner, name, condition=lambda *values: True):
+def inject_after(monkeypatch, cell, owner, name, condition=lambda *values: True):
     """Let the fault strike after a plain method has run."""
     original = getattr(owner, name)
 
-    def struck(*values, **named):
+    def injecting(*values, **named):
         result = original(*values, **named)
         if condition(*values):
-            cell.strike()
+            cell.inject()
         return result
 
-    monkeypatch.setattr(owner, name, struck)
+    monkeypatch.setattr(owner, name, injecting)
 
 
 def sends(text):
@@ -121,27 +121,27 @@
 
 
 STEPS = {
-    "connection taken": (strike_after, CallerSession, "hold_connection", None),
-    "BEGIN": (strike_after, UpstreamConnection, "send", sends("BEGIN")),
-    "statement sent": (strike_after, UpstreamConnection, "send", sends(REQUEST)),
-    "read sent": (strike_after, UpstreamConnection, "send", sends(READ)),
+    "connection taken": (inject_after, CallerSession, "hold_connection", None),
+    "BEGIN": (inject_after, UpstreamConnection, "send", sends("BEGIN")),
+    "statement sent": (inject_after, UpstreamConnection, "send", sends(REQUEST)),
+    "read sent": (inject_after, UpstreamConnection, "send", sends(READ)),
     "answer half way": (
-        strike_after,
+        inject_after,
         Relay,
         "process_message",
         lambda relay, message: message.kind == b"D",
     ),
-    "COMMIT sent": (strike_after, UpstreamConnection, "send", sends("COMMIT")),
-    "COMMIT answered": (strike_before, CallerSession, "read_control_answer", None),
-    "confirmation": (strike_before, upstream_use, "acknowledge_write", None),
-    "answer": (strike_before, CallerSession, "write_ready", None),
+    "COMMIT sent": (inject_after, UpstreamConnection, "send", sends("COMMIT")),
+    "COMMIT answered": (inject_before, CallerSession, "read_query_result", None),
+    "confirmation": (inject_before, upstream_steps, "acknowledge_write", None),
+    "answer": (inject_before, CallerSession, "write_ready", None),
 }
 
 
-def arm(monkeypatch, cell, step):
+def arm_fault(monkeypatch, cell, step):
     """Make the fault strike at a step."""
     if step == "queued":
-        strike_before(
+        inject_before(
             monkeypatch, cell, ConnectionPool, "wait_for_grant", lambda *values: True
         )
         return
@@ -149,7 +149,7 @@
     how(monkeypatch, cell, owner, name, condition or (lambda *values: True))
 
 
-async def ask_all(caller, statements):
+async def run_statements(caller, statements):
     """Run statements up to the first error; return the last frames."""
     frames = []
     for sql in statements:
@@ -162,7 +162,7 @@
 async def observe(caller, statements):
     """Return what the caller was told and the frames of the last answer."""
     try:
-        frames = await ask_all(caller, statements)
+        frames = await run_statements(caller, statements)
     except (ConnectionError, asyncio.IncompleteReadError):
         return GONE, []
     if "E" not in kinds(frames):
@@ -177,11 +177,11 @@
     cell = Cell(proxy, caller, fault)
     holders = []
     if step == "queued":
-        holders = await hold_places(proxy)
+        holders = await hold_all_connections(proxy)
     with monkeypatch.context() as patches:
-        arm(patches, cell, step)
+        arm_fault(patches, cell, step)
         outcome, frames = await observe(caller, statements)
-    assert cell.has_struck
+    assert cell.is_injected
     await asyncio.gather(*cell.tasks)
     for name in NAMES:
         proxy.standins.thaw(name)
@@ -193,7 +193,7 @@
     return outcome, frames
 
 
-async def hold_places(proxy):
+async def hold_all_connections(proxy):
     """Occupy every connection of every pool."""
     places = []
     for upstream in proxy.group.upstreams.values():
@@ -204,7 +204,7 @@
     return places
 
 
-def note(kind, step, fault, outcome, rows):
+def write_result(kind, step, fault, outcome, rows):
     """Add a line to the table of results, if one is asked for."""
     path = os.environ.get("EBONYRACK_FAULT_TABLE")
     if path:
@@ -277,7 +277,7 @@
     async with open_proxy(limit=2, **LIMITS) as proxy:
         outcome, _ = await run_cell(monkeypatch, proxy, step, fault, statements)
         rows = proxy.count_rows(PRIMARY, REQUEST)
-        note(kind, step, fault, outcome, rows)
+        write_result(kind, step, fault, outcome, rows)
         assert outcome in allowed[fault]
         assert rows <= 1
         if outcome == NO:
@@ -324,7 +324,7 @@
         await wait_until(lambda: not proxy.sessions)
         outcome, frames = await run_cell(monkeypatch, proxy, step, fault, (READ,))
         rows = kinds(frames).count("D")
-        note(f"read of {row_bytes} bytes a row", step, fault, outcome, rows)
+        write_result(f"read of {row_bytes} bytes a row", step, fault, outcome, rows)
         is_long = step == "answer half way" and row_bytes > SHORT_ROW_BYTES
         assert outcome in allowed.get(fault, {NO, OK} if is_long else {OK})
         if is_long and fault == "connection_lost":
--- a/ebonyrack/callers/overlapping.py
+++ b/ebonyrack/callers/overlapped_read.py
@@ -6,12 +6,12 @@
 import contextlib
 from typing import TYPE_CHECKING
 
-from ebonyrack.callers.position_question import build_position_question
-from ebonyrack.callers.position_question import read_status
-from ebonyrack.callers.read_steps import break_read
+from ebonyrack.callers.position_query import build_position_query
+from ebonyrack.callers.position_query import read_status
+from ebonyrack.callers.read_steps import acquire_for_read
 from ebonyrack.callers.read_steps import check_still_replica
-from ebonyrack.callers.read_steps import end_read
-from ebonyrack.callers.read_steps import take_for_read
+from ebonyrack.callers.read_steps import finish_read
+from ebonyrack.callers.read_steps import report_interrupted_read
 from ebonyrack.callers.relay import Relay
 from ebonyrack.callers.upstream_holder import SessionPhase
 from ebonyrack.core.errors import ErrorKind
@@ -27,7 +27,7 @@
     from ebonyrack.upstreams.upstream import Upstream
 
 
-async def read_overlapped(
+async def run_overlapped_read(
     session: CallerSession,
     request: Request,
     requirement: ReadRequirement,
@@ -46,8 +46,8 @@
         be placed; nothing of an answer has gone to the caller.
 
     Raises:
-        ReadBrokenError: If the upstream was lost.
-        WriteInDisguiseError: If it is no read.
+        ReadInterruptedError: If the upstream was lost.
+        MisclassifiedWriteError: If it is no read.
         RequestError: If it can't be served or was cancelled.
     """
     overlap = choose_overlap(session.group, session.read_index, requirement, deadline_s)
@@ -56,19 +56,19 @@
     try:
         with overlap:
             overlap.start()
-            await take_for_read(session, overlap.replica, deadline_s)
-            relay = await send_overlapped(session, request, overlap)
+            await acquire_for_read(session, overlap.replica, deadline_s)
+            relay = await send_overlapped_read(session, request, overlap)
         if relay is None:
             return None
-        await run_replica_read(session, relay, overlap.replica)
-        end_read(session, relay)
+        await relay_replica_read(session, relay, overlap.replica)
+        finish_read(session, relay)
         session.stream.write(relay.output)
         return relay.error is None
     finally:
         session.transaction.release()
 
 
-async def send_overlapped(
+async def send_overlapped_read(
     session: CallerSession, request: Request, overlap: Overlap
 ) -> Relay | None:
     """Send a read behind a poll and wait until its answer may be used.
@@ -85,20 +85,20 @@
         The relay of the answer, or None if the answer must not be used.
 
     Raises:
-        ReadBrokenError: If the upstream was lost.
+        ReadInterruptedError: If the upstream was lost.
         RequestError: CANCELLED if the caller has cancelled an answer that is dropped.
     """
     connection = session.connection
     assert connection is not None
     exchange = request.render(connection)
-    relay = Relay(session, connection, exchange, holds=False)
+    relay = Relay(session, connection, exchange, hold_completed=False)
     # Lets the polls go out first: their answers come while the replica reads.
     await asyncio.sleep(0)
     try:
-        connection.send(build_position_question(session) + exchange.data)
+        connection.send(build_position_query(session) + exchange.data)
         status = await read_status(session)
     except UpstreamLostError as error:
-        raise break_read(session, overlap.replica, error, False) from error
+        raise report_interrupted_read(session, overlap.replica, error, False) from error
     # A cancel request that comes now is meant for the read, which runs already.
     session.enter_phase(SessionPhase.UPSTREAM)
     placement = await overlap.validate(status)
@@ -107,11 +107,11 @@
         return relay
     if connection.is_cancelled:
         raise RequestError(ErrorKind.CANCELLED)
-    take_dropped_answer(relay)
+    discard_dropped_answer(relay)
     return None
 
 
-def take_dropped_answer(relay: Relay) -> None:
+def discard_dropped_answer(relay: Relay) -> None:
     """Take an answer that is dropped off its connection, as far as it has come.
 
     If it is whole, the connection can be kept; its statements stay prepared.
@@ -126,7 +126,7 @@
             message = relay.connection.pop_message()
 
 
-async def run_replica_read(
+async def relay_replica_read(
     session: CallerSession, relay: Relay, upstream: Upstream
 ) -> None:
     """Relay the answer of a replica.
@@ -137,10 +137,12 @@
         upstream: The replica.
 
     Raises:
-        ReadBrokenError: If it was lost, or became primary meanwhile.
+        ReadInterruptedError: If it was lost, or became primary meanwhile.
     """
     try:
         await relay.run()
         check_still_replica(relay.connection)
     except UpstreamLostError as error:
-        raise break_read(session, upstream, error, relay.has_sent) from error
+        raise report_interrupted_read(
+            session, upstream, error, relay.has_sent
+        ) from error
--- a/ebonyrack/callers/pipeline.py
+++ b/ebonyrack/callers/pipeline.py
@@ -8,7 +8,7 @@
 from ebonyrack.callers.chunk import ChunkItem
 from ebonyrack.callers.control_chunk import is_control
 from ebonyrack.callers.control_chunk import run_control_chunk
-from ebonyrack.callers.control_chunk import split_items
+from ebonyrack.callers.control_chunk import split_into_chunks
 from ebonyrack.callers.dispatch import run_data
 from ebonyrack.callers.own_request import OWN_BEGIN
 from ebonyrack.callers.own_request import OWN_COMMIT
@@ -26,7 +26,7 @@
     from ebonyrack.upstreams.connection import Message
 
 # A pipeline longer than this runs in parts, as if the caller had sent a Flush.
-COLLECTED_BYTES = 1024 * 1024
+MAXIMUM_COLLECTED_BYTES = 1024 * 1024
 
 
 class Pipeline:
@@ -80,17 +80,17 @@
             RequestError: If the session ends with it.
         """
         if frame.kind == b"S":
-            await self.finish()
+            await self.process_sync()
         elif self.is_skipping:
             return
         elif frame.kind == b"H":
             await self.run_collected(is_whole=False)
         else:
             self.collect(frame)
-            if self.must_run(frame):
+            if self.is_run_due(frame):
                 await self.run_collected(is_whole=False)
 
-    def must_run(self, frame: Message) -> bool:
+    def is_run_due(self, frame: Message) -> bool:
         """Tell whether the messages collected have become too many to wait on.
 
         Args:
@@ -101,7 +101,7 @@
         """
         if self.collected_bytes > self.session.settings.maximum_message_bytes:
             return True
-        return frame.kind == b"E" and self.collected_bytes > COLLECTED_BYTES
+        return frame.kind == b"E" and self.collected_bytes > MAXIMUM_COLLECTED_BYTES
 
     def collect(self, frame: Message) -> None:
         """Keep a message until Sync or Flush, with the statement it is about.
@@ -143,7 +143,7 @@
                     return None
         return self.store.statements.get(name)
 
-    async def finish(self) -> None:
+    async def process_sync(self) -> None:
         """Run what is left at Sync and tell the caller to go on.
 
         Raises:
@@ -155,12 +155,12 @@
         self.has_unsynced = False
         transaction = self.session.transaction
         if transaction.is_implicit:
-            await self.end_implicit()
+            await self.end_implicit_transaction()
         if transaction.status == IDLE:
             self.portals.clear()
         self.session.write_ready()
 
-    async def end_implicit(self) -> None:
+    async def end_implicit_transaction(self) -> None:
         """End the transaction that a Flush made the proxy open.
 
         Raises:
@@ -190,12 +190,12 @@
         items, self.items = self.items, []
         self.collected_bytes = 0
         self.has_unsynced = bool(items) and not is_whole
-        for chunk in split_items(items):
-            if not await self.attempt(chunk, is_whole):
+        for chunk in split_into_chunks(items):
+            if not await self.run_chunk(chunk, is_whole):
                 self.is_skipping = True
                 return
 
-    async def attempt(self, chunk: Chunk, is_whole: bool) -> bool:
+    async def run_chunk(self, chunk: Chunk, is_whole: bool) -> bool:
         """Run a chunk; an error that does not end the session is answered.
 
         Args:
@@ -238,7 +238,7 @@
             session.stream.write(chunk.build_replay([]))
             self.store.note_closed(chunk)
             return True
-        if not is_whole and session.transaction.status == IDLE and chunk.makes_portals:
+        if not is_whole and session.transaction.status == IDLE and chunk.uses_portals:
             session.transaction.begin(OWN_BEGIN, False, is_implicit=True)
         try:
             return await run_data(session, chunk.statement, chunk)
--- a/ebonyrack/callers/position_question.py
+++ b/ebonyrack/callers/position_query.py
@@ -27,12 +27,12 @@
     return CONTRACTS.get(session.group.section.contract)()
 
 
-async def ask_last_commit(session: CallerSession, question: str) -> LogPosition:
+async def read_last_commit(session: CallerSession, query: str) -> LogPosition:
     """Read the answer to a question for the last commit that was sent already.
 
     Args:
         session: A session that holds a connection.
-        question: The question, asked again if a late cancel request hit it.
+        query: The query, asked again if a late cancel request hit it.
 
     Returns:
         The position; LOG_START if the connection never committed anything.
@@ -43,9 +43,9 @@
     connection = session.connection
     assert connection is not None
     limit_s = session.group.section.answer_wait_s
-    answer = await session.read_control_answer()
+    answer = await session.read_query_result()
     if answer.error is not None:
-        answer = await connection.query(question, limit_s)
+        answer = await connection.query(query, limit_s)
     if answer.error is not None or not answer.rows:
         raise UpstreamLostError("the position of the commit can't be read")
     text = answer.rows[0][0]
@@ -55,7 +55,7 @@
         raise UpstreamLostError(str(error)) from error
 
 
-def build_position_question(session: CallerSession) -> bytes:
+def build_position_query(session: CallerSession) -> bytes:
     """Build the question for the position that the upstream's log has reached.
 
     Args:
@@ -79,7 +79,7 @@
     Raises:
         UpstreamLostError: If there is no answer.
     """
-    answer = await session.read_control_answer()
+    answer = await session.read_query_result()
     return read_polled_position(get_contract(session), answer)
 
 
@@ -95,7 +95,7 @@
     Raises:
         UpstreamLostError: If there is no answer or it has another form.
     """
-    answer = await session.read_control_answer()
+    answer = await session.read_query_result()
     if answer.error is not None:
         return None
     return read_polled_status(get_contract(session), answer)
--- a/ebonyrack/callers/read_steps.py
+++ b/ebonyrack/callers/read_steps.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING
 
-from ebonyrack.callers.upstream_use import take_upstream
+from ebonyrack.callers.upstream_steps import acquire_connection
 from ebonyrack.upstreams.connection import UpstreamLostError
 
 if TYPE_CHECKING:
@@ -17,7 +17,7 @@
 READ_ONLY_SQLSTATE = "25006"
 
 
-class ReadBrokenError(Exception):
+class ReadInterruptedError(Exception):
     """A read whose answer did not come, or not whole.
 
     Attributes:
@@ -33,11 +33,11 @@
         self.has_sent = has_sent
 
 
-class WriteInDisguiseError(Exception):
+class MisclassifiedWriteError(Exception):
     """A statement taken for a read that an upstream refused as a write."""
 
 
-async def take_for_read(
+async def acquire_for_read(
     session: CallerSession, upstream: Upstream, deadline_s: float
 ) -> None:
     """Take a connection for a read.
@@ -48,18 +48,18 @@
         deadline_s: Monotonic time at which the wait ends, in seconds.
 
     Raises:
-        ReadBrokenError: If the upstream can't be reached.
+        ReadInterruptedError: If the upstream can't be reached.
         RequestError: If no connection comes free in time.
     """
     try:
-        await take_upstream(session, upstream, deadline_s)
+        await acquire_connection(session, upstream, deadline_s)
     except UpstreamLostError as error:
-        raise break_read(session, upstream, error, False) from error
+        raise report_interrupted_read(session, upstream, error, False) from error
 
 
-def break_read(
+def report_interrupted_read(
     session: CallerSession, upstream: Upstream, error: UpstreamLostError, has_sent: bool
-) -> ReadBrokenError:
+) -> ReadInterruptedError:
     """Report an upstream as lost and build the error of its read.
 
     Args:
@@ -69,7 +69,7 @@
         has_sent: Whether a part of the answer has gone to the caller.
     """
     session.group.report_connection_lost(upstream.name, error.reason)
-    return ReadBrokenError(upstream.name, error.reason, has_sent)
+    return ReadInterruptedError(upstream.name, error.reason, has_sent)
 
 
 def check_still_replica(connection: UpstreamConnection) -> None:
@@ -82,7 +82,7 @@
         raise UpstreamLostError("the replica became primary during the read")
 
 
-def end_read(session: CallerSession, relay: Relay) -> None:
+def finish_read(session: CallerSession, relay: Relay) -> None:
     """Give the connection of a read back.
 
     Args:
@@ -90,9 +90,9 @@
         relay: The relay, run to its end.
 
     Raises:
-        WriteInDisguiseError: If the upstream refused the statement as a write.
+        MisclassifiedWriteError: If the upstream refused the statement as a write.
     """
     if relay.sqlstate == READ_ONLY_SQLSTATE and not relay.has_sent:
-        raise WriteInDisguiseError
-    session.note_served()
+        raise MisclassifiedWriteError
+    session.record_serving_upstream()
     session.release_connection()
--- a/ebonyrack/callers/reading.py
+++ b/ebonyrack/callers/reading.py
@@ -4,18 +4,18 @@
 
 from typing import TYPE_CHECKING
 
-from ebonyrack.callers.overlapping import read_overlapped
-from ebonyrack.callers.position_question import build_position_question
-from ebonyrack.callers.position_question import read_position
-from ebonyrack.callers.read_steps import ReadBrokenError
-from ebonyrack.callers.read_steps import WriteInDisguiseError
-from ebonyrack.callers.read_steps import break_read
+from ebonyrack.callers.overlapped_read import run_overlapped_read
+from ebonyrack.callers.position_query import build_position_query
+from ebonyrack.callers.position_query import read_position
+from ebonyrack.callers.read_steps import MisclassifiedWriteError
+from ebonyrack.callers.read_steps import ReadInterruptedError
+from ebonyrack.callers.read_steps import acquire_for_read
 from ebonyrack.callers.read_steps import check_still_replica
-from ebonyrack.callers.read_steps import end_read
-from ebonyrack.callers.read_steps import take_for_read
+from ebonyrack.callers.read_steps import finish_read
+from ebonyrack.callers.read_steps import report_interrupted_read
 from ebonyrack.callers.relay import Relay
-from ebonyrack.callers.upstream_use import confirm_read
-from ebonyrack.callers.upstream_use import make_requirement
+from ebonyrack.callers.upstream_steps import build_requirement
+from ebonyrack.callers.upstream_steps import confirm_read
 from ebonyrack.callers.writing import run_write
 from ebonyrack.core.clock import now_s
 from ebonyrack.core.errors import ErrorKind
@@ -48,18 +48,18 @@
     deadline_s = now_s() + session.group.section.queue_wait_s
     try:
         return await read_once(session, request, deadline_s, frozenset())
-    except ReadBrokenError as error:
+    except ReadInterruptedError as error:
         if error.has_sent:
             raise RequestError(ErrorKind.ANSWER_CUT, error.reason) from error
         excluded = frozenset({error.upstream_name})
-    except WriteInDisguiseError:
+    except MisclassifiedWriteError:
         return await run_write(session, request)
     try:
         return await read_once(session, request, deadline_s, excluded)
-    except ReadBrokenError as error:
+    except ReadInterruptedError as error:
         kind = ErrorKind.ANSWER_CUT if error.has_sent else ErrorKind.UPSTREAM_LOST
         raise RequestError(kind, error.reason) from error
-    except WriteInDisguiseError:
+    except MisclassifiedWriteError:
         return await run_write(session, request)
 
 
@@ -81,20 +81,22 @@
         Whether the upstream answered without an error.
 
     Raises:
-        ReadBrokenError: If the upstream was lost.
-        WriteInDisguiseError: If it is no read.
+        ReadInterruptedError: If the upstream was lost.
+        MisclassifiedWriteError: If it is no read.
         RequestError: If it can't be served.
     """
     group = session.group
-    requirement = make_requirement(session)
+    requirement = build_requirement(session)
     if not excluded:
-        is_success = await read_overlapped(session, request, requirement, deadline_s)
+        is_success = await run_overlapped_read(
+            session, request, requirement, deadline_s
+        )
         if is_success is not None:
             return is_success
-    placement = await session.wait_before_sending(
+    placement = await session.wait_cancellable(
         place_read(group, session.read_index, requirement, deadline_s, excluded)
     )
-    await take_for_read(session, placement.upstream, deadline_s)
+    await acquire_for_read(session, placement.upstream, deadline_s)
     try:
         return await relay_read(session, request, placement)
     finally:
@@ -115,26 +117,28 @@
         Whether the upstream answered without an error.
 
     Raises:
-        ReadBrokenError: If the upstream was lost.
-        WriteInDisguiseError: If it is no read.
+        ReadInterruptedError: If the upstream was lost.
+        MisclassifiedWriteError: If it is no read.
         RequestError: POSITION_NOT_REACHED if what it saw was not confirmed.
     """
     connection = session.connection
     assert connection is not None
     needs_confirmation = placement.hold_until_confirmed
     exchange = request.render(connection)
-    relay = Relay(session, connection, exchange, holds=needs_confirmation)
-    question = build_position_question(session) if needs_confirmation else b""
+    relay = Relay(session, connection, exchange, hold_completed=needs_confirmation)
+    query = build_position_query(session) if needs_confirmation else b""
     try:
-        connection.send(exchange.data + question)
+        connection.send(exchange.data + query)
         await relay.run()
         if needs_confirmation:
             position = await read_position(session)
         elif placement.needs_replica:
             check_still_replica(connection)
     except UpstreamLostError as error:
-        raise break_read(session, placement.upstream, error, relay.has_sent) from error
-    end_read(session, relay)
+        raise report_interrupted_read(
+            session, placement.upstream, error, relay.has_sent
+        ) from error
+    finish_read(session, relay)
     if needs_confirmation and relay.error is None:
         await confirm_read(session, position)
     session.stream.write(relay.output)
--- a/ebonyrack/callers/recorded_answer.py
+++ b/ebonyrack/callers/recorded_answer.py
@@ -35,16 +35,18 @@
 
     Attributes:
         tags: Command tag of each command.
-        form: Form of the request; the frames suit no other. Empty without frames.
+        fingerprint: What a repeat must match to get the frames; empty without them.
         frames: Frames of the answer; empty if the tags tell all.
     """
 
     tags: tuple[str, ...]
-    form: bytes = b""
+    fingerprint: bytes = b""
     frames: tuple[bytes, ...] = ()
 
 
-def make_answer(application: str, request: Request, relay: Relay) -> RecordedAnswer:
+def build_recorded_answer(
+    application: str, request: Request, relay: Relay
+) -> RecordedAnswer:
     """Make the record of an answer that is still held.
 
     Args:
@@ -60,17 +62,17 @@
             it was too large to be held.
     """
     if relay.has_sent:
-        raise build_too_large(FLUSH_BYTES)
+        raise build_too_large_error(FLUSH_BYTES)
     frames = tuple(
         frame for frame in split_frames(relay.output) if frame[:1] in RECORDED_KINDS
     )
     tags = tuple(relay.tags)
     if not any(frame[:1] in DESCRIBING_KINDS for frame in frames):
         return RecordedAnswer(tags)
-    return RecordedAnswer(tags, make_form(application, request), frames)
+    return RecordedAnswer(tags, build_fingerprint(application, request), frames)
 
 
-def make_form(application: str, request: Request) -> bytes:
+def build_fingerprint(application: str, request: Request) -> bytes:
     """Make what a repeat must have in common with the request that was answered.
 
     Args:
@@ -114,9 +116,9 @@
     """
     if not answer.frames:
         return TAG_SEPARATOR.join(answer.tags)
-    packed = msgpack.packb([answer.tags, answer.form, answer.frames])
+    packed = msgpack.packb([answer.tags, answer.fingerprint, answer.frames])
     if len(packed) > MAXIMUM_PACKED_BYTES:
-        raise build_too_large(len(packed))
+        raise build_too_large_error(len(packed))
     return PACKED_PREFIX + base64.b64encode(packed).decode("ascii")
 
 
@@ -136,14 +138,14 @@
         return RecordedAnswer(tuple(text.split(TAG_SEPARATOR)))
     try:
         packed = base64.b64decode(text.removeprefix(PACKED_PREFIX), validate=True)
-        tags, form, frames = msgpack.unpackb(packed)
+        tags, fingerprint, frames = msgpack.unpackb(packed)
     except (ValueError, TypeError, msgpack.exceptions.UnpackException) as error:
         reason = f"its answer can't be read: {error}"
         raise RequestError(ErrorKind.ALREADY_RAN, reason) from error
-    return RecordedAnswer(tuple(tags), form, tuple(frames))
+    return RecordedAnswer(tuple(tags), fingerprint, tuple(frames))
 
 
-def build_repeat(application: str, request: Request, outcome: str) -> bytes:
+def build_repeated_answer(application: str, request: Request, outcome: str) -> bytes:
     """Build the answer to the repeat of a request that ran earlier.
 
     Args:
@@ -164,13 +166,13 @@
             reason = f"within a transaction, outcome {outcome or 'not recorded'}"
             raise RequestError(ErrorKind.ALREADY_RAN, reason)
         return request.build_replay(answer.tags)
-    if answer.form == make_form(application, request):
+    if answer.fingerprint == build_fingerprint(application, request):
         return request.build_replay(answer.tags, answer.frames)
     reason = "its answer was recorded for another form of the request"
     raise RequestError(ErrorKind.ALREADY_RAN, reason)
 
 
-def build_too_large(size_bytes: int) -> RequestError:
+def build_too_large_error(size_bytes: int) -> RequestError:
     """Build the error for an answer that can't be kept; nothing is committed.
 
     Args:
--- a/ebonyrack/callers/recorded_answer_test.py
+++ b/ebonyrack/callers/recorded_answer_test.py
@@ -22,10 +22,10 @@
 from ebonyrack.callers.exchange import SimpleRequest
 from ebonyrack.callers.recorded_answer import MAXIMUM_PACKED_BYTES
 from ebonyrack.callers.recorded_answer import RecordedAnswer
-from ebonyrack.callers.recorded_answer import build_repeat
+from ebonyrack.callers.recorded_answer import build_fingerprint
+from ebonyrack.callers.recorded_answer import build_repeated_answer
 from ebonyrack.callers.recorded_answer import decode_answer
 from ebonyrack.callers.recorded_answer import encode_answer
-from ebonyrack.callers.recorded_answer import make_form
 from ebonyrack.core.errors import ErrorKind
 from ebonyrack.core.errors import RequestError
 
@@ -105,11 +105,11 @@
 
 def test_another_application_gets_no_rows():
     request = SimpleRequest(FORMS["simple"][0])
-    form = make_form("booking", request)
+    form = build_fingerprint("booking", request)
     outcome = encode_answer(RecordedAnswer(("INSERT 0 1",), form, (b"rows",)))
-    assert build_repeat("booking", request, outcome) == b"rows"
+    assert build_repeated_answer("booking", request, outcome) == b"rows"
     with pytest.raises(RequestError) as caught:
-        build_repeat("feeds", request, outcome)
+        build_repeated_answer("feeds", request, outcome)
     assert caught.value.kind is ErrorKind.ALREADY_RAN
 
 
--- a/ebonyrack/callers/relay.py
+++ b/ebonyrack/callers/relay.py
@@ -35,31 +35,31 @@
     """Collects and passes on the answer to one exchange.
 
     The end of the answer stays in `output` until the caller of `run` decides about
-    it; with `holds`, all from the first CommandComplete on stays there.
+    it; with `hold_completed`, all from the first CommandComplete on stays there.
 
     Attributes:
         session: The caller's session.
         connection: The upstream connection that answers.
-        holds: Whether completed commands are kept back.
+        hold_completed: Whether completed commands are kept back.
         steps: Steps still to come, or None for a simple query.
         output: Frames that have not gone to the caller.
         has_sent: Whether any frame has gone to the caller.
         is_held: Whether frames are kept back by now.
         error: ErrorResponse frame of the upstream, or None.
-        completed: Commands that the upstream has completed.
-        tags: Their command tags, kept only with `holds`.
+        completed_commands: Commands that the upstream has completed.
+        tags: Their command tags, kept only with `hold_completed`.
     """
 
     __slots__ = (
         "session",
         "connection",
-        "holds",
+        "hold_completed",
         "steps",
         "output",
         "has_sent",
         "is_held",
         "error",
-        "completed",
+        "completed_commands",
         "tags",
     )
 
@@ -68,17 +68,17 @@
         session: CallerSession,
         connection: UpstreamConnection,
         exchange: Exchange,
-        holds: bool,
+        hold_completed: bool,
     ) -> None:
         self.session = session
         self.connection = connection
-        self.holds = holds
+        self.hold_completed = hold_completed
         self.steps = exchange.steps
         self.output = bytearray()
         self.has_sent = False
         self.is_held = False
         self.error: bytes | None = None
-        self.completed = 0
+        self.completed_commands = 0
         self.tags: list[str] = []
 
     @property
@@ -137,13 +137,13 @@
         if kind == b"D":
             self.output += message.raw
         elif kind == b"E":
-            self.accept_error(message)
+            self.process_error(message)
         elif kind in COPY_KINDS:
-            self.refuse_copy(message)
+            self.reject_copy(message)
         elif kind not in DROPPED_KINDS:
-            self.accept_completion(message)
+            self.process_completion(message)
 
-    def accept_error(self, message: Message) -> None:
+    def process_error(self, message: Message) -> None:
         """Keep an error; the upstream skips all further steps.
 
         Args:
@@ -157,7 +157,7 @@
             if self.sqlstate in STALE_SQLSTATES:
                 self.session.has_stale_statements = True
 
-    def accept_completion(self, message: Message) -> None:
+    def process_completion(self, message: Message) -> None:
         """Take a message that may complete a step.
 
         Args:
@@ -165,8 +165,8 @@
         """
         kind = message.kind
         if kind in COMMAND_KINDS:
-            self.completed += 1
-            if self.holds:
+            self.completed_commands += 1
+            if self.hold_completed:
                 self.is_held = True
                 self.tags.append(read_tag(message))
         if self.steps and kind in COMPLETING_KINDS:
@@ -187,7 +187,7 @@
             step.is_done = True
             self.output += step.frame
 
-    def refuse_copy(self, message: Message) -> None:
+    def reject_copy(self, message: Message) -> None:
         """End a COPY that was not recognised in time.
 
         A copy from the caller is failed, so that the upstream answers the rest.
--- a/ebonyrack/callers/transaction.py
+++ b/ebonyrack/callers/transaction.py
@@ -15,11 +15,11 @@
 from ebonyrack.callers.transaction_status import FAILED
 from ebonyrack.callers.transaction_status import IDLE
 from ebonyrack.callers.transaction_status import OPEN
-from ebonyrack.callers.upstream_use import confirm_replay
-from ebonyrack.callers.upstream_use import make_requirement
-from ebonyrack.callers.upstream_use import run_control
-from ebonyrack.callers.upstream_use import take_primary
-from ebonyrack.callers.upstream_use import take_upstream
+from ebonyrack.callers.upstream_steps import acquire_connection
+from ebonyrack.callers.upstream_steps import acquire_primary_connection
+from ebonyrack.callers.upstream_steps import build_requirement
+from ebonyrack.callers.upstream_steps import confirm_replay
+from ebonyrack.callers.upstream_steps import run_internal_statement
 from ebonyrack.core.clock import now_s
 from ebonyrack.core.errors import ErrorKind
 from ebonyrack.core.errors import RequestError
@@ -49,7 +49,7 @@
         needs_replica: Whether it reads from a replica; one that was promoted
             meanwhile needs confirmation too.
         key: Idempotency key of the transaction, or an empty string.
-        failure: Error to answer the next statement with, or None.
+        pending_error: Error to answer the next statement with, or None.
     """
 
     __slots__ = (
@@ -62,12 +62,12 @@
         "needs_confirmation",
         "needs_replica",
         "key",
-        "failure",
+        "pending_error",
     )
 
     def __init__(self, session: CallerSession) -> None:
         self.session = session
-        self.failure: RequestError | None = None
+        self.pending_error: RequestError | None = None
         self.reset()
 
     def reset(self) -> None:
@@ -97,15 +97,15 @@
         self.key = self.session.variables.idempotency_key
         self.session.variables.idempotency_key = ""
 
-    def raise_failure(self) -> None:
+    def raise_pending_error(self) -> None:
         """Raise the error that was met while the caller was idle.
 
         Raises:
             RequestError: That error, once.
         """
-        failure, self.failure = self.failure, None
-        if failure is not None:
-            raise failure
+        error, self.pending_error = self.pending_error, None
+        if error is not None:
+            raise error
 
     async def run(self, request: Request, is_read: bool) -> bool:
         """Run a statement in the transaction.
@@ -122,21 +122,21 @@
         """
         session = self.session
         if session.connection is None:
-            await self.open()
-        await session.await_cancel()
+            await self.begin_on_upstream()
+        await session.wait_for_pending_cancel()
         assert session.connection is not None
         self.has_written = self.has_written or not is_read
         exchange = request.render(session.connection)
-        relay = Relay(session, session.connection, exchange, holds=not is_read)
+        relay = Relay(session, session.connection, exchange, hold_completed=not is_read)
         try:
             session.connection.send(exchange.data)
             await relay.run()
         except UpstreamLostError as error:
             kind = ErrorKind.ANSWER_CUT if relay.has_sent else ErrorKind.UPSTREAM_LOST
-            raise session.lose_upstream(error, kind) from error
+            raise session.handle_upstream_lost(error, kind) from error
         if session.connection.transaction_status == IDLE and not is_read:
             await acknowledge_inner_commit(session, session.connection)
-        self.follow_status()
+        self.update_status()
         session.stream.write(relay.output)
         return relay.error is None
 
@@ -148,7 +148,7 @@
         self.status = connection.transaction_status
         self.has_written = True
 
-    def follow_status(self) -> None:
+    def update_status(self) -> None:
         """Take over the status that the upstream reported."""
         connection = self.session.connection
         if connection is None:
@@ -158,7 +158,7 @@
             self.session.release_connection()
             self.reset()
 
-    async def open(self) -> None:
+    async def begin_on_upstream(self) -> None:
         """Take a connection, begin on it and claim the idempotency key.
 
         Raises:
@@ -166,18 +166,18 @@
         """
         session = self.session
         if self.is_read_only and not self.key:
-            await self.place()
+            await self.acquire_read_connection()
         else:
-            await take_primary(session)
+            await acquire_primary_connection(session)
             # It may read what no majority holds yet, also if it writes nothing.
             self.needs_confirmation = session.group.section.read_policy == "quorum"
         if self.key:
-            await self.claim()
+            await self.claim_key()
         else:
-            await run_control(session, self.begin_sql)
-        session.note_served()
+            await run_internal_statement(session, self.begin_sql)
+        session.record_serving_upstream()
 
-    async def place(self) -> None:
+    async def acquire_read_connection(self) -> None:
         """Take a connection of the upstream that is to serve the reads.
 
         Raises:
@@ -186,18 +186,20 @@
         session = self.session
         group = session.group
         deadline_s = now_s() + group.section.queue_wait_s
-        placement = await session.wait_before_sending(
-            place_read(group, session.read_index, make_requirement(session), deadline_s)
+        placement = await session.wait_cancellable(
+            place_read(
+                group, session.read_index, build_requirement(session), deadline_s
+            )
         )
         try:
-            await take_upstream(session, placement.upstream, deadline_s)
+            await acquire_connection(session, placement.upstream, deadline_s)
         except UpstreamLostError as error:
             group.report_connection_lost(placement.upstream.name, error.reason)
             raise RequestError(ErrorKind.UPSTREAM_LOST, error.reason) from error
         self.needs_confirmation = placement.hold_until_confirmed
         self.needs_replica = placement.needs_replica
 
-    async def claim(self) -> None:
+    async def claim_key(self) -> None:
         """Begin and claim the idempotency key within the transaction.
 
         Raises:
@@ -228,10 +230,10 @@
         session = self.session
         session.is_committing = True
         try:
-            self.raise_failure()
-            await session.await_cancel()
+            self.raise_pending_error()
+            await session.wait_for_pending_cancel()
             if session.connection is None:
-                return self.commit_nothing(request)
+                return self.commit_without_upstream(request)
             if self.has_written:
                 key = self.key if self.status == OPEN else ""
                 return await commit_write(session, request, key)
@@ -244,7 +246,7 @@
         finally:
             session.is_committing = False
 
-    def commit_nothing(self, request: Request) -> bool:
+    def commit_without_upstream(self, request: Request) -> bool:
         """Answer the COMMIT of a transaction that no upstream knows of.
 
         Args:
@@ -300,4 +302,4 @@
     def expire(self) -> None:
         """Roll back because the caller was idle for too long."""
         self.fail()
-        self.failure = RequestError(ErrorKind.IDLE_IN_TRANSACTION)
+        self.pending_error = RequestError(ErrorKind.IDLE_IN_TRANSACTION)
--- a/ebonyrack/callers/upstream_holder.py
+++ b/ebonyrack/callers/upstream_holder.py
@@ -135,13 +135,13 @@
         self.phase = SessionPhase.WORKING
         return message
 
-    async def await_cancel(self) -> None:
+    async def wait_for_pending_cancel(self) -> None:
         """Let a cancel request strike before the next statement is sent."""
         if self.cancel_done is not None:
             await self.cancel_done.wait()
             self.cancel_done = None
 
-    async def read_control_answer(self) -> QueryResult:
+    async def read_query_result(self) -> QueryResult:
         """Wait for the answer to a control query that was sent already.
 
         Returns:
@@ -156,7 +156,7 @@
         self.phase = SessionPhase.WORKING
         return answer
 
-    async def wait_before_sending(self, waiting: Awaitable[Result]) -> Result:
+    async def wait_cancellable(self, waiting: Awaitable[Result]) -> Result:
         """Wait for something that a request needs before anything is sent for it.
 
         Args:
@@ -201,7 +201,9 @@
             connection.close()
         upstream.pool.release(connection)
 
-    def lose_upstream(self, error: UpstreamLostError, kind: ErrorKind) -> RequestError:
+    def handle_upstream_lost(
+        self, error: UpstreamLostError, kind: ErrorKind
+    ) -> RequestError:
         """Give up the connection held after the upstream was lost.
 
         Args:
@@ -218,23 +220,23 @@
         self.release_connection()
         return RequestError(kind, error.reason)
 
-    def send_surely(self, data: bytes, question: str) -> None:
+    def send_with_query(self, data: bytes, query: str) -> None:
         """Send a request together with the question for the commit's position.
 
         Args:
             data: Frames of the request.
-            question: The question.
+            query: The query.
 
         Raises:
             RequestError: UPSTREAM_LOST if nothing of it was sent.
         """
         assert self.connection is not None
         try:
-            self.connection.send(data + build_query(question))
+            self.connection.send(data + build_query(query))
         except UpstreamLostError as error:
-            raise self.lose_upstream(error, ErrorKind.UPSTREAM_LOST) from error
+            raise self.handle_upstream_lost(error, ErrorKind.UPSTREAM_LOST) from error
 
-    def note_served(self) -> None:
+    def record_serving_upstream(self) -> None:
         """Remember which upstream serves, for `SHOW ebonyrack.served_by`."""
         upstream = self.upstream
         if upstream is not None:
--- a/ebonyrack/callers/upstream_use.py
+++ b/ebonyrack/callers/upstream_steps.py
@@ -6,8 +6,8 @@
 from typing import TYPE_CHECKING
 
 from ebonyrack.callers.answers import build_parameter
-from ebonyrack.callers.position_question import build_position_question
-from ebonyrack.callers.position_question import read_position
+from ebonyrack.callers.position_query import build_position_query
+from ebonyrack.callers.position_query import read_position
 from ebonyrack.callers.variables import TOKEN
 from ebonyrack.core import metrics
 from ebonyrack.core.clock import now_s
@@ -32,7 +32,7 @@
 PRIMARY_RETRY_S = 0.02
 
 
-def make_requirement(session: CallerSession) -> ReadRequirement:
+def build_requirement(session: CallerSession) -> ReadRequirement:
     """State what a read of the session must see.
 
     Args:
@@ -47,7 +47,7 @@
     )
 
 
-async def take_primary(session: CallerSession) -> None:
+async def acquire_primary_connection(session: CallerSession) -> None:
     """Take a connection of the primary, waiting for a new one if need be.
 
     Nothing of the request has been sent yet, so waiting repeats nothing.
@@ -61,24 +61,24 @@
     group = session.group
     deadline_s = now_s() + group.section.queue_wait_s
     while True:
-        upstream = await session.wait_before_sending(
+        upstream = await session.wait_cancellable(
             group.wait_for_primary(deadline_s, session.identity.application)
         )
         check_write_admitted(group)
         try:
-            await take_upstream(session, upstream, deadline_s)
+            await acquire_connection(session, upstream, deadline_s)
         except UpstreamLostError as error:
             group.report_connection_lost(upstream.name, error.reason)
             if now_s() >= deadline_s:
                 raise RequestError(ErrorKind.UPSTREAM_LOST, error.reason) from error
-            await session.wait_before_sending(asyncio.sleep(PRIMARY_RETRY_S))
+            await session.wait_cancellable(asyncio.sleep(PRIMARY_RETRY_S))
             continue
         if group.primary_name == upstream.name:
             return
         session.release_connection()
 
 
-async def take_upstream(
+async def acquire_connection(
     session: CallerSession, upstream: Upstream, deadline_s: float
 ) -> None:
     """Take a connection of an upstream from its pool.
@@ -95,14 +95,14 @@
     if session.services.is_cut_off():
         raise RequestError(ErrorKind.CUT_OFF, retry_after_s=CUT_OFF_RETRY_S)
     started_s = now_s()
-    connection = await session.wait_before_sending(
+    connection = await session.wait_cancellable(
         upstream.pool.acquire(session.identity.application, deadline_s)
     )
     metrics.queue_time.record(now_s() - started_s, {"group": session.identity.group})
     session.hold_connection(upstream, connection)
 
 
-async def run_control(session: CallerSession, sql: str) -> QueryResult:
+async def run_internal_statement(session: CallerSession, sql: str) -> QueryResult:
     """Run a statement of the proxy's own before anything is committed.
 
     Args:
@@ -120,7 +120,7 @@
     try:
         answer = await session.connection.query(sql, limit_s)
     except UpstreamLostError as error:
-        raise session.lose_upstream(error, ErrorKind.UPSTREAM_LOST) from error
+        raise session.handle_upstream_lost(error, ErrorKind.UPSTREAM_LOST) from error
     if answer.error is not None:
         reason = f"{sql} was refused: {answer.error.get('M', '')}"
         raise RequestError(ErrorKind.UPSTREAM_LOST, reason)
@@ -154,19 +154,19 @@
         RequestError: OUTCOME_UNKNOWN if that does not happen in time.
     """
     group = session.group
-    await run_control(session, "ROLLBACK")
+    await run_internal_statement(session, "ROLLBACK")
     try:
         assert session.connection is not None
-        session.connection.send(build_position_question(session))
+        session.connection.send(build_position_query(session))
         position = await read_position(session)
     except UpstreamLostError as error:
-        raise session.lose_upstream(error, ErrorKind.OUTCOME_UNKNOWN) from error
+        raise session.handle_upstream_lost(error, ErrorKind.OUTCOME_UNKNOWN) from error
     session.release_connection()
     await group.confirm(position, now_s() + group.section.confirm_wait_s)
     session.variables.note_write(position)
 
 
-async def finish_write(
+async def confirm_write(
     session: CallerSession, connection: UpstreamConnection, position: LogPosition
 ) -> None:
     """Wait until a majority holds a commit, and keep its position.
@@ -187,7 +187,7 @@
     session.variables.note_write(position)
 
 
-def write_token(session: CallerSession) -> None:
+def report_token(session: CallerSession) -> None:
     """Report the session's token to the caller.
 
     Args:
--- a/ebonyrack/callers/writing.py
+++ b/ebonyrack/callers/writing.py
@@ -10,17 +10,17 @@
 from ebonyrack.callers.own_request import OWN_BEGIN
 from ebonyrack.callers.own_request import OWN_COMMIT
 from ebonyrack.callers.recorded_answer import COMMIT_TAG
-from ebonyrack.callers.recorded_answer import build_repeat
+from ebonyrack.callers.recorded_answer import build_recorded_answer
+from ebonyrack.callers.recorded_answer import build_repeated_answer
 from ebonyrack.callers.recorded_answer import encode_answer
-from ebonyrack.callers.recorded_answer import make_answer
 from ebonyrack.callers.relay import Relay
 from ebonyrack.callers.transaction_status import IDLE
 from ebonyrack.callers.transaction_status import OPEN
-from ebonyrack.callers.upstream_use import confirm_replay
-from ebonyrack.callers.upstream_use import finish_write
-from ebonyrack.callers.upstream_use import run_control
-from ebonyrack.callers.upstream_use import take_primary
-from ebonyrack.callers.upstream_use import write_token
+from ebonyrack.callers.upstream_steps import acquire_primary_connection
+from ebonyrack.callers.upstream_steps import confirm_replay
+from ebonyrack.callers.upstream_steps import confirm_write
+from ebonyrack.callers.upstream_steps import report_token
+from ebonyrack.callers.upstream_steps import run_internal_statement
 from ebonyrack.callers.variables import REPLAYED
 from ebonyrack.core.errors import ErrorKind
 from ebonyrack.core.errors import RequestError
@@ -51,7 +51,7 @@
     if key:
         session.variables.idempotency_key = ""
         return await run_keyed_write(session, request, key)
-    await take_primary(session)
+    await acquire_primary_connection(session)
     try:
         return await relay_write(session, request)
     finally:
@@ -77,18 +77,18 @@
     assert connection is not None
     answer = await send_commit(session, request)
     relay = answer.relay
-    if relay.sqlstate == READ_ONLY_SQLSTATE and relay.completed == 0:
+    if relay.sqlstate == READ_ONLY_SQLSTATE and relay.completed_commands == 0:
         raise RequestError(ErrorKind.NO_PRIMARY, "the upstream is a replica now")
-    session.note_served()
+    session.record_serving_upstream()
     if connection.transaction_status == IDLE:
         session.release_connection()
     else:
         session.transaction.adopt()
     # An error after a completed command may follow a COMMIT within the query.
-    if relay.error is None or relay.completed:
-        await finish_write(session, connection, answer.position)
+    if relay.error is None or relay.completed_commands:
+        await confirm_write(session, connection, answer.position)
         session.stream.write(relay.output)
-        write_token(session)
+        report_token(session)
     else:
         session.stream.write(relay.output)
     return relay.error is None
@@ -108,7 +108,7 @@
     Raises:
         RequestError: Its kind says whether the write ran.
     """
-    await take_primary(session)
+    await acquire_primary_connection(session)
     try:
         outcome = await claim_session_key(session, key, OWN_BEGIN)
         if outcome is not None:
@@ -134,9 +134,11 @@
             ALREADY_RAN if the record does not answer this request.
     """
     await confirm_replay(session)
-    session.stream.write(build_repeat(session.identity.application, request, outcome))
+    session.stream.write(
+        build_repeated_answer(session.identity.application, request, outcome)
+    )
     session.stream.write(build_parameter(REPLAYED, "on"))
-    write_token(session)
+    report_token(session)
     return True
 
 
@@ -158,27 +160,27 @@
     connection = session.connection
     assert connection is not None
     exchange = request.render(connection)
-    relay = Relay(session, connection, exchange, holds=True)
+    relay = Relay(session, connection, exchange, hold_completed=True)
     try:
         connection.send(exchange.data)
         await relay.run()
         if relay.error is not None:
-            await run_control(session, "ROLLBACK")
+            await run_internal_statement(session, "ROLLBACK")
             session.stream.write(relay.output)
             return False
     except UpstreamLostError as error:
-        raise session.lose_upstream(error, ErrorKind.UPSTREAM_LOST) from error
-    check_still_open(session)
-    record = await build_record(session, request, key, relay)
+        raise session.handle_upstream_lost(error, ErrorKind.UPSTREAM_LOST) from error
+    check_transaction_open(session)
+    record = await build_answer_record(session, request, key, relay)
     if not await commit_keyed_write(session, record):
         return False
     session.stream.write(relay.output)
     session.stream.write(build_parameter(REPLAYED, "off"))
-    write_token(session)
+    report_token(session)
     return True
 
 
-async def build_record(
+async def build_answer_record(
     session: CallerSession, request: Request, key: str, relay: Relay
 ) -> str:
     """Build the statement that records a write's answer, or roll the write back.
@@ -196,10 +198,10 @@
         RequestError: UNSUPPORTED if the answer is too large to be recorded.
     """
     try:
-        answer = make_answer(session.identity.application, request, relay)
+        answer = build_recorded_answer(session.identity.application, request, relay)
         return build_outcome_record(key, encode_answer(answer))
     except RequestError:
-        await run_control(session, "ROLLBACK")
+        await run_internal_statement(session, "ROLLBACK")
         raise
 
 
@@ -218,24 +220,24 @@
     """
     connection = session.connection
     assert connection is not None
-    await session.await_cancel()
+    await session.wait_for_pending_cancel()
     session.is_committing = True
     try:
         answer = await send_commit(session, OWN_COMMIT, record)
     finally:
         session.is_committing = False
-    session.note_served()
+    session.record_serving_upstream()
     session.release_connection()
     if answer.relay.error is not None:
         session.stream.write(answer.relay.output)
         return False
     if answer.relay.tags != [COMMIT_TAG]:
         raise RequestError(ErrorKind.UPSTREAM_LOST, "COMMIT was a ROLLBACK")
-    await finish_write(session, connection, answer.position)
+    await confirm_write(session, connection, answer.position)
     return True
 
 
-def check_still_open(session: CallerSession) -> None:
+def check_transaction_open(session: CallerSession) -> None:
     """Refuse to go on if a statement has ended the proxy's transaction.
 
     Args:
