--- a/ebonyrack/callers/upstream_holder.py
+++ b/ebonyrack/callers/upstream_holder.py
@@ -31,7 +31,7 @@
 Result = TypeVar("Result")
 
 
-class Phase(StrEnum):
+class SessionPhase(StrEnum):
     """What a session waits for."""
 
     IDLE = "idle"
@@ -53,7 +53,7 @@
         connection: That connection, or None.
         phase: What the session waits for.
         phase_since_s: Monotonic time at which the wait began.
-        scope: Scope of a wait before anything was sent, ended to cancel it, or None.
+        cancel_scope: Timeout that is expired to cancel a wait, or None.
         is_committing: Whether a COMMIT was sent, which is not cancelled any more.
         cancel_done: Set when a cancel request has reached the upstream, or None.
         has_stale_statements: Whether the connection held is closed after use, since
@@ -68,7 +68,7 @@
         "connection",
         "phase",
         "phase_since_s",
-        "scope",
+        "cancel_scope",
         "is_committing",
         "cancel_done",
         "has_stale_statements",
@@ -80,9 +80,9 @@
         self.variables = SessionVariables(identity.group, services.token_key)
         self.upstream: Upstream | None = None
         self.connection: UpstreamConnection | None = None
-        self.phase = Phase.IDLE
+        self.phase = SessionPhase.IDLE
         self.phase_since_s = now_s()
-        self.scope: asyncio.Timeout | None = None
+        self.cancel_scope: asyncio.Timeout | None = None
         self.is_committing = False
         self.cancel_done: asyncio.Event | None = None
         self.has_stale_statements = False
@@ -109,7 +109,7 @@
         """Settings of the proxy."""
         return self.services.settings.proxy
 
-    def enter(self, phase: Phase) -> None:
+    def enter_phase(self, phase: SessionPhase) -> None:
         """Note what the session waits for from now on.
 
         Args:
@@ -130,18 +130,18 @@
         Raises:
             UpstreamLostError: If the connection has ended.
         """
-        self.enter(Phase.UPSTREAM)
+        self.enter_phase(SessionPhase.UPSTREAM)
         message = await connection.read_message()
-        self.phase = Phase.WORKING
+        self.phase = SessionPhase.WORKING
         return message
 
-    async def await_cancel(self) -> None:
+    async def wait_for_pending_cancel(self) -> None:
         """Let a cancel request strike before the next statement is sent."""
         if self.cancel_done is not None:
             await self.cancel_done.wait()
             self.cancel_done = None
 
-    async def read_control_answer(self) -> QueryResult:
+    async def read_query_result(self) -> QueryResult:
         """Wait for the answer to a control query that was sent already.
 
         Returns:
@@ -151,12 +151,12 @@
             UpstreamLostError: If the connection has ended.
         """
         assert self.connection is not None
-        self.enter(Phase.UPSTREAM)
+        self.enter_phase(SessionPhase.UPSTREAM)
         answer = await self.connection.read_answer()
-        self.phase = Phase.WORKING
+        self.phase = SessionPhase.WORKING
         return answer
 
-    async def wait_before_sending(self, waiting: Awaitable[Result]) -> Result:
+    async def wait_cancellable(self, waiting: Awaitable[Result]) -> Result:
         """Wait for something that a request needs before anything is sent for it.
 
         Args:
@@ -169,12 +169,12 @@
             RequestError: CANCELLED if the caller asked for it.
         """
         try:
-            async with asyncio.timeout(None) as self.scope:
+            async with asyncio.timeout(None) as self.cancel_scope:
                 return await waiting
         except TimeoutError:
             raise RequestError(ErrorKind.CANCELLED) from None
         finally:
-            self.scope = None
+            self.cancel_scope = None
 
     def hold_connection(
         self, upstream: Upstream, connection: UpstreamConnection
@@ -201,7 +201,9 @@
             connection.close()
         upstream.pool.release(connection)
 
-    def lose_upstream(self, error: UpstreamLostError, kind: ErrorKind) -> RequestError:
+    def handle_upstream_lost(
+        self, error: UpstreamLostError, kind: ErrorKind
+    ) -> RequestError:
         """Give up the connection held after the upstream was lost.
 
         Args:
@@ -218,23 +220,23 @@
         self.release_connection()
         return RequestError(kind, error.reason)
 
-    def send_surely(self, data: bytes, question: str) -> None:
+    def send_with_query(self, data: bytes, query: str) -> None:
         """Send a request together with the question for the commit's position.
 
         Args:
             data: Frames of the request.
-            question: The question.
+            query: The query.
 
         Raises:
             RequestError: UPSTREAM_LOST if nothing of it was sent.
         """
         assert self.connection is not None
         try:
-            self.connection.send(data + build_query(question))
+            self.connection.send(data + build_query(query))
         except UpstreamLostError as error:
-            raise self.lose_upstream(error, ErrorKind.UPSTREAM_LOST) from error
+            raise self.handle_upstream_lost(error, ErrorKind.UPSTREAM_LOST) from error
 
-    def note_served(self) -> None:
+    def record_serving_upstream(self) -> None:
         """Remember which upstream serves, for `SHOW ebonyrack.served_by`."""
         upstream = self.upstream
         if upstream is not None:
