--- a/ebonyrack/load/bench.py
+++ b/ebonyrack/load/bench.py
@@ -9,11 +9,11 @@
 
 from ebonyrack.core.address import Address
 from ebonyrack.core.clock import now_s
-from ebonyrack.load.lean_client import LeanClient
 from ebonyrack.load.process_stats import KIB
 from ebonyrack.load.process_stats import read_processor_s
 from ebonyrack.load.process_stats import read_resident_bytes
 from ebonyrack.load.record import find_quantile
+from ebonyrack.load.simple_query_client import SimpleQueryClient
 
 SERIAL_BLOCKS = 20
 BLOCK_STATEMENTS = 100
@@ -47,7 +47,7 @@
     return f"SELECT slot, booker FROM bookings WHERE slot = {number}"
 
 
-async def measure_serial(client: LeanClient, count: int) -> list[float]:
+async def measure_serial(client: SimpleQueryClient, count: int) -> list[float]:
     """Return the time of each of some statements sent one by one, in seconds."""
     times_s = []
     for number in range(count):
@@ -62,8 +62,8 @@
     direct_s: list[float] = []
     proxied_s: list[float] = []
     async with (
-        LeanClient(options.upstream) as direct,
-        LeanClient(options.proxy) as proxied,
+        SimpleQueryClient(options.upstream) as direct,
+        SimpleQueryClient(options.proxy) as proxied,
     ):
         await measure_serial(direct, BLOCK_STATEMENTS)
         await measure_serial(proxied, BLOCK_STATEMENTS)
@@ -85,7 +85,7 @@
     counts = [0] * callers
 
     async def run(index: int) -> None:
-        async with LeanClient(address) as client:
+        async with SimpleQueryClient(address) as client:
             while now_s() < stop_s:
                 if await client.query(build_select(counts[index])):
                     counts[index] += 1
@@ -115,10 +115,10 @@
 async def measure_memory(options: BenchOptions) -> dict[str, Any]:
     """Measure the proxy's memory with no callers and with many idle ones."""
     before = read_resident_bytes(options.proxy_pid)
-    clients = [LeanClient(options.proxy) for _ in range(options.idle_callers)]
+    clients = [SimpleQueryClient(options.proxy) for _ in range(options.idle_callers)]
     gate = asyncio.Semaphore(OPENING_AT_ONCE)
 
-    async def open_one(client: LeanClient) -> None:
+    async def open_one(client: SimpleQueryClient) -> None:
         async with gate:
             await client.open()
             await client.query(build_select(1))
--- a/ebonyrack/load/control_host.py
+++ b/ebonyrack/load/control_host.py
@@ -31,22 +31,22 @@
 
     Attributes:
         store: Address of the platform's store.
-        network: IP number at which all proxies of the run listen.
+        listen_ip: IP address at which all proxies of the run listen.
         first: Number of the first proxy here.
         count: Number of proxies here.
         data_centres: Number of data centres; proxies take turns.
     """
 
     store: Address
-    network: str
+    listen_ip: str
     first: int
     count: int
     data_centres: int
 
 
-def find_address(network: str, number: int) -> Address:
+def find_address(listen_ip: str, number: int) -> Address:
     """Return the peer address of a proxy."""
-    return Address(network, FIRST_PORT + number)
+    return Address(listen_ip, FIRST_PORT + number)
 
 
 def write_event(event: str, **fields: Any) -> None:
@@ -66,7 +66,7 @@
     __slots__ = ("plane", "shares", "count", "stack")
 
     def __init__(self, options: HostOptions, number: int) -> None:
-        seeds = [find_address(options.network, seed) for seed in range(3)]
+        seeds = [find_address(options.listen_ip, seed) for seed in range(3)]
         settings = build_settings(
             f"proxy-{number}",
             options.store,
@@ -74,7 +74,7 @@
             f"dc-{number % options.data_centres}",
             timeouts=DAEMON_TIMEOUTS,
         )
-        address = find_address(options.network, number)
+        address = find_address(options.listen_ip, number)
         proxy = settings.proxy.model_copy(update={"peer_address": address})
         settings = type(settings)(proxy, settings.store, settings.peers, settings.log)
         self.plane = ControlPlane(settings)
--- a/ebonyrack/load/control_plane.py
+++ b/ebonyrack/load/control_plane.py
@@ -50,11 +50,11 @@
 
     Attributes:
         store: Address of the platform's store.
-        network: IP number at which the proxies listen.
+        listen_ip: IP address at which the proxies listen.
         nodes: Number of proxies, the victim included.
         groups: Database groups in the document.
         logs: Output of each host process.
-        victim: Output of the process that is killed at the end.
+        victim_log: Output of the process that is killed at the end.
         edits: Edits that are timed.
         idle_s: Length of the window without edits, in seconds.
         events: Lines read so far.
@@ -62,11 +62,11 @@
     """
 
     store: Address
-    network: str
+    listen_ip: str
     nodes: int
     groups: int
     logs: tuple[Path, ...]
-    victim: Path
+    victim_log: Path
     edits: int
     idle_s: float
     events: list[dict[str, Any]] = field(default_factory=list)
@@ -74,7 +74,7 @@
 
     def read_events(self) -> None:
         """Read what the hosts have told since the last time."""
-        for path in (*self.logs, self.victim):
+        for path in (*self.logs, self.victim_log):
             with path.open("rb") as file:
                 file.seek(self.offsets.get(path, 0))
                 for line in file:
@@ -163,7 +163,7 @@
         base = StoredDocument(number + 1, text, ())
         text = build_text(measurement.groups, 4 + number)
         edit = build_edit(uuid.uuid4().hex, OPERATOR, base, text)
-        address = find_address(measurement.network, number % (measurement.nodes - 1))
+        address = find_address(measurement.listen_ip, number % (measurement.nodes - 1))
         access = Access((address,), SECRET, OPERATOR, "", EDIT_LIMIT_S)
         reply = await ProxyDocument(access).change(edit, EDIT_LIMIT_S)
         if reply.outcome != "accepted":
@@ -218,7 +218,7 @@
     started = next(
         line
         for line in measurement.events
-        if line["event"] == "started" and line["log"] == measurement.victim
+        if line["event"] == "started" and line["log"] == measurement.victim_log
     )
     killed_s = now_s()
     os.kill(started["pid"], signal.SIGKILL)
--- a/ebonyrack/load/lean_client.py
+++ b/ebonyrack/load/simple_query_client.py
@@ -20,11 +20,11 @@
 READ_LIMIT = 65536
 
 
-class LeanError(Exception):
+class SimpleQueryError(Exception):
     """The server refused, or the connection broke."""
 
 
-class LeanClient(Component):
+class SimpleQueryClient(Component):
     """One connection without a password that sends simple queries.
 
     Attributes:
@@ -60,7 +60,7 @@
         """Connect and do the startup.
 
         Raises:
-            LeanError: If the server refuses or asks for a password.
+            SimpleQueryError: If the server refuses or asks for a password.
         """
         self.reader, self.writer = await asyncio.open_connection(
             self.address.host, self.address.port, limit=READ_LIMIT
@@ -69,7 +69,7 @@
         self.writer.write(StartupMessage(params).to_wire())
         await self.read_answer()
         if self.error:
-            raise LeanError(self.error.decode(errors="replace"))
+            raise SimpleQueryError(self.error.decode(errors="replace"))
 
     async def query(self, sql: str) -> bool:
         """Run a simple query.
@@ -81,7 +81,7 @@
             Whether it succeeded.
 
         Raises:
-            LeanError: If the connection breaks.
+            SimpleQueryError: If the connection breaks.
         """
         return await self.send(Query(sql).to_wire())
 
@@ -95,7 +95,7 @@
         """Read up to the next ReadyForQuery.
 
         Raises:
-            LeanError: If the connection breaks.
+            SimpleQueryError: If the connection breaks.
         """
         self.error = b""
         self.rows = 0
@@ -111,7 +111,7 @@
                 elif kind == DATA_ROW:
                     self.rows += 1
         except (asyncio.IncompleteReadError, OSError) as error:
-            raise LeanError(repr(error) + repr(self.error)) from error
+            raise SimpleQueryError(repr(error) + repr(self.error)) from error
 
     def close(self) -> None:
         """Leave."""
--- a/ebonyrack/load/lean_client_test.py
+++ b/ebonyrack/load/simple_query_client_test.py
@@ -4,29 +4,29 @@
 
 from ebonyrack.load.bench import BenchOptions
 from ebonyrack.load.bench import run_bench
-from ebonyrack.load.lean_client import LeanClient
-from ebonyrack.load.lean_client import LeanError
+from ebonyrack.load.simple_query_client import SimpleQueryClient
+from ebonyrack.load.simple_query_client import SimpleQueryError
 from ebonyrack.standins.group import StandinGroup
 from ebonyrack.standins.options import UpstreamOptions
 
 
 async def test_client_counts_rows_and_keeps_errors():
     async with StandinGroup(count=1) as group:
-        async with LeanClient(group["up-1"].address) as client:
+        async with SimpleQueryClient(group["up-1"].address) as client:
             assert await client.query("VALUES (1), (2)")
             assert client.rows == 2
             assert not await client.query("SELECT * FROM missing")
             assert b"42P01" in client.error
             await group.kill("up-1")
-            with pytest.raises(LeanError):
+            with pytest.raises(SimpleQueryError):
                 await client.query("SELECT 1")
 
 
 async def test_refused_startup_is_an_error():
     options = UpstreamOptions(connection_limit=0)
     async with StandinGroup(count=1, options=options) as group:
-        with pytest.raises(LeanError, match="too many"):
-            await LeanClient(group["up-1"].address).open()
+        with pytest.raises(SimpleQueryError, match="too many"):
+            await SimpleQueryClient(group["up-1"].address).open()
 
 
 async def test_bench_gives_all_figures(monkeypatch):
--- a/ebonyrack/scripts/load.py
+++ b/ebonyrack/scripts/load.py
@@ -50,7 +50,7 @@
     asyncio.get_running_loop().add_signal_handler(signal.SIGTERM, stopped.set)
     options = HostOptions(
         store=arguments.store,
-        network=arguments.network,
+        listen_ip=arguments.network,
         first=arguments.first,
         count=arguments.count,
         data_centres=arguments.data_centres,
@@ -63,11 +63,11 @@
     """Measure hosted control planes, print the row and keep it."""
     measurement = Measurement(
         store=arguments.store,
-        network=arguments.network,
+        listen_ip=arguments.network,
         nodes=arguments.nodes,
         groups=arguments.groups,
         logs=tuple(arguments.logs),
-        victim=arguments.victim,
+        victim_log=arguments.victim,
         edits=arguments.edits,
         idle_s=arguments.idle_s,
     )
--- a/ebonyrack/standins/session_test.py
+++ b/ebonyrack/standins/session_test.py
@@ -5,7 +5,7 @@
 import pytest
 from pygwire import messages
 
-from ebonyrack.load.lean_client import LeanClient
+from ebonyrack.load.simple_query_client import SimpleQueryClient
 from ebonyrack.standins.conftest import INSERT
 from ebonyrack.standins.conftest import connect
 from ebonyrack.standins.conftest import fetch
@@ -136,7 +136,7 @@
     update = (messages.Parse(query="UPDATE bookings SET slot = slot * 2"),)
     update += (messages.Bind(), messages.Execute(), messages.Flush())
     second = await connect(group["up-1"])
-    async with LeanClient(group["up-1"].address) as first, second:
+    async with SimpleQueryClient(group["up-1"].address) as first, second:
         await second.execute(INSERT, (1, "a", "r"))
         first.writer.write(b"".join(message.to_wire() for message in update))
         while not any(
