--- a/ebonyrack/callers/keyed_test.py
+++ b/ebonyrack/callers/keyed_test.py
@@ -83,7 +83,7 @@
     def end_upstream_sessions(data):
         if COMMIT in data:
             for session in list(proxy.standins[PRIMARY].sessions.values()):
-                session.doom_transaction()
+                session.terminate_transaction()
 
     caller = await proxy.start_wire()
     with monkeypatch.context() as patches:
--- a/ebonyrack/config/fault_matrix_test.py
+++ b/ebonyrack/config/fault_matrix_test.py
@@ -13,7 +13,7 @@
 from ebonyrack.config.edit_test import TEXT
 from ebonyrack.config.stored import unpack_stored
 from ebonyrack.core.clock import now_s
-from ebonyrack.ops.client import Access
+from ebonyrack.ops.client import ProxyAccess
 from ebonyrack.ops.document_access import ProxyDocument
 from ebonyrack.peers.link import PeerLostError
 from ebonyrack.peers.member import MemberState
@@ -63,7 +63,7 @@
 
     async def edit_until_accepted(self, edit):
         proxies = tuple(plane.hub.address for plane in self.fleet.planes)
-        access = Access(proxies, self.fleet.secret, "ada", "", 2.0)
+        access = ProxyAccess(proxies, self.fleet.secret, "ada", "", 2.0)
         for _ in range(30):
             with contextlib.suppress(PeerLostError):
                 reply = await ProxyDocument(access).change(edit, LIMIT_S)
--- a/ebonyrack/load/control_plane.py
+++ b/ebonyrack/load/control_plane.py
@@ -21,7 +21,7 @@
 from ebonyrack.load.control_host import find_address
 from ebonyrack.load.record import find_quantile
 from ebonyrack.load.results import Row
-from ebonyrack.ops.client import Access
+from ebonyrack.ops.client import ProxyAccess
 from ebonyrack.ops.document_access import DirectDocument
 from ebonyrack.ops.document_access import ProxyDocument
 from ebonyrack.standins.control_plane import SECRET
@@ -164,7 +164,7 @@
         text = build_text(measurement.groups, 4 + number)
         edit = build_edit(uuid.uuid4().hex, OPERATOR, base, text)
         address = find_address(measurement.network, number % (measurement.nodes - 1))
-        access = Access((address,), SECRET, OPERATOR, "", EDIT_LIMIT_S)
+        access = ProxyAccess((address,), SECRET, OPERATOR, "", EDIT_LIMIT_S)
         reply = await ProxyDocument(access).change(edit, EDIT_LIMIT_S)
         if reply.outcome != "accepted":
             raise OSError(f"edit {number} was not accepted: {reply.reasons}")
--- a/ebonyrack/load/queue_samples.py
+++ b/ebonyrack/load/queue_samples.py
@@ -11,7 +11,7 @@
 from ebonyrack.core.clock import now_s
 from ebonyrack.core.tasks import end_tasks
 from ebonyrack.load.context import ExperimentContext
-from ebonyrack.ops.client import Access
+from ebonyrack.ops.client import ProxyAccess
 from ebonyrack.ops.client import ProxyClient
 from ebonyrack.peers.operator_messages import StatusReply
 from ebonyrack.peers.operator_messages import StatusRequest
@@ -67,7 +67,7 @@
     async with AsyncExitStack() as stack:
         clients = []
         for address in context.peers:
-            access = Access(
+            access = ProxyAccess(
                 (address,), context.peer_secret, OPERATOR, "", ANSWER_TIMEOUT_S
             )
             clients.append(await stack.enter_async_context(ProxyClient(access)))
@@ -86,7 +86,7 @@
     while True:
         due_s = now_s() + SAMPLE_INTERVAL_S
         replies = await asyncio.gather(
-            *(client.ask(request, StatusReply) for client in clients)
+            *(client.request(request, StatusReply) for client in clients)
         )
         samples.append(add_up(list(replies), context.cluster.group, now_s()))
         await asyncio.sleep(max(0.0, due_s - now_s()))
--- a/ebonyrack/ops/client.py
+++ b/ebonyrack/ops/client.py
@@ -30,7 +30,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Access:
+class ProxyAccess:
     """How the tool reaches the system.
 
     Attributes:
@@ -58,7 +58,7 @@
 
     __slots__ = ("access", "link")
 
-    def __init__(self, access: Access) -> None:
+    def __init__(self, access: ProxyAccess) -> None:
         self.access = access
         self.link: PeerLink | None = None
 
@@ -91,7 +91,7 @@
         await link.start()
         return link
 
-    async def ask(
+    async def request(
         self, message: Message, reply_type: type[Reply], timeout_s: float | None = None
     ) -> Reply:
         """Ask the proxy.
@@ -133,11 +133,13 @@
     async def exchange(self, data: str) -> str:
         """Send one message of the SCRAM exchange and return the answer."""
         request = AuthenticateRequest(self.access.operator, data)
-        reply = await self.ask(request, AuthenticateReply)
+        reply = await self.request(request, AuthenticateReply)
         return reply.data
 
 
-async def ask_proxy(access: Access, message: Message, reply_type: type[Reply]) -> Reply:
+async def query_proxy(
+    access: ProxyAccess, message: Message, reply_type: type[Reply]
+) -> Reply:
     """Ask the first proxy that answers something that changes nothing.
 
     Args:
@@ -153,6 +155,6 @@
     """
     try:
         async with ProxyClient(access) as client:
-            return await client.ask(message, reply_type)
+            return await client.request(message, reply_type)
     except PeerLostError as error:
         raise CommandError(ExitStatus.UNREACHABLE, error.reason) from error
--- a/ebonyrack/ops/document_access.py
+++ b/ebonyrack/ops/document_access.py
@@ -18,9 +18,9 @@
 from ebonyrack.config.stored import StoredDocument
 from ebonyrack.config.stored import unpack_stored
 from ebonyrack.core.clock import now_s
-from ebonyrack.ops.client import Access
+from ebonyrack.ops.client import ProxyAccess
 from ebonyrack.ops.client import ProxyClient
-from ebonyrack.ops.client import ask_proxy
+from ebonyrack.ops.client import query_proxy
 from ebonyrack.ops.exit_status import CommandError
 from ebonyrack.ops.exit_status import ExitStatus
 from ebonyrack.peers.document_messages import AskDocument
@@ -51,12 +51,12 @@
 
     __slots__ = ("access",)
 
-    def __init__(self, access: Access) -> None:
+    def __init__(self, access: ProxyAccess) -> None:
         self.access = access
 
     async def read(self) -> StoredDocument:
         """Read the document that the proxy runs."""
-        reply = await ask_proxy(self.access, AskDocument(0), DocumentReply)
+        reply = await query_proxy(self.access, AskDocument(0), DocumentReply)
         return unpack_stored(reply.stored) if reply.stored else EMPTY_STORED
 
     async def change(self, edit: Edit, limit_s: float) -> EditReply:
@@ -74,7 +74,7 @@
 
     async def read_revisions(self) -> dict[str, int]:
         """Return the revision that each live proxy runs, 0 if it isn't reached."""
-        reply = await ask_proxy(self.access, AskRevisions(), RevisionsReply)
+        reply = await query_proxy(self.access, AskRevisions(), RevisionsReply)
         return reply.revisions
 
     async def wait_everywhere(self, revision: int, limit_s: float) -> dict[str, int]:
@@ -121,7 +121,7 @@
         return build_reply(await attempt.run())
 
 
-async def send_edit(access: Access, edit: Edit, limit_s: float) -> EditReply:
+async def send_edit(access: ProxyAccess, edit: Edit, limit_s: float) -> EditReply:
     """Send an edit to the first proxy that answers.
 
     Raises:
@@ -138,7 +138,7 @@
     )
     async with ProxyClient(access) as client:
         await client.authenticate()
-        return await client.ask(request, EditReply, limit_s + REPLY_MARGIN_S)
+        return await client.request(request, EditReply, limit_s + REPLY_MARGIN_S)
 
 
 def is_everywhere(revisions: dict[str, int], revision: int) -> bool:
--- a/ebonyrack/ops/orders.py
+++ b/ebonyrack/ops/proxy_commands.py
@@ -6,7 +6,7 @@
 
 from ebonyrack.core.address import Address
 from ebonyrack.core.address import parse_address
-from ebonyrack.ops.client import Access
+from ebonyrack.ops.client import ProxyAccess
 from ebonyrack.ops.client import ProxyClient
 from ebonyrack.ops.exit_status import CommandError
 from ebonyrack.ops.exit_status import ExitStatus
@@ -19,13 +19,15 @@
 from ebonyrack.peers.operator_messages import SwitchoverRequest
 
 
-async def drain(access: Access, proxy: str, output: Output) -> ExitStatus:
+async def drain(access: ProxyAccess, proxy: str, output: Output) -> ExitStatus:
     """Order a proxy, by name or address, to shut down gracefully."""
     address = await find_proxy(access, proxy)
-    return await give_order(replace(access, proxies=(address,)), DrainRequest(), output)
+    return await send_command(
+        replace(access, proxies=(address,)), DrainRequest(), output
+    )
 
 
-async def find_proxy(access: Access, proxy: str) -> Address:
+async def find_proxy(access: ProxyAccess, proxy: str) -> Address:
     """Return the peer address of a proxy named by its name or address."""
     try:
         return parse_address(proxy)
@@ -39,18 +41,20 @@
 
 
 async def switch_over(
-    access: Access, group: str, to: str, output: Output
+    access: ProxyAccess, group: str, to: str, output: Output
 ) -> ExitStatus:
     """Order a planned change of a group's primary."""
-    return await give_order(access, SwitchoverRequest(group, to), output)
+    return await send_command(access, SwitchoverRequest(group, to), output)
 
 
-async def give_order(access: Access, order: Message, output: Output) -> ExitStatus:
+async def send_command(
+    access: ProxyAccess, order: Message, output: Output
+) -> ExitStatus:
     """Send an order and print its outcome; a lost answer leaves it unknown."""
     async with ProxyClient(access) as client:
         await client.authenticate()
         try:
-            reply = await client.ask(order, CommandReply)
+            reply = await client.request(order, CommandReply)
         except PeerLostError as error:
             text = f"unknown whether it was done: {error.reason}"
             raise CommandError(ExitStatus.UNKNOWN, text) from error
--- a/ebonyrack/ops/status.py
+++ b/ebonyrack/ops/status.py
@@ -4,8 +4,8 @@
 
 from typing import Any
 
-from ebonyrack.ops.client import Access
-from ebonyrack.ops.client import ask_proxy
+from ebonyrack.ops.client import ProxyAccess
+from ebonyrack.ops.client import query_proxy
 from ebonyrack.ops.exit_status import CommandError
 from ebonyrack.ops.exit_status import ExitStatus
 from ebonyrack.ops.output import Output
@@ -34,12 +34,14 @@
 )
 
 
-async def fetch_status(access: Access, include_sessions: bool = False) -> StatusReply:
+async def fetch_status(
+    access: ProxyAccess, include_sessions: bool = False
+) -> StatusReply:
     """Ask a proxy for its state."""
-    return await ask_proxy(access, StatusRequest(include_sessions), StatusReply)
+    return await query_proxy(access, StatusRequest(include_sessions), StatusReply)
 
 
-async def show_status(access: Access, output: Output) -> ExitStatus:
+async def show_status(access: ProxyAccess, output: Output) -> ExitStatus:
     """Print the proxies that a proxy knows, and its groups in short."""
     reply = await fetch_status(access)
     report = {
@@ -93,7 +95,9 @@
     ]
 
 
-async def show_groups(access: Access, group_name: str, output: Output) -> ExitStatus:
+async def show_groups(
+    access: ProxyAccess, group_name: str, output: Output
+) -> ExitStatus:
     """Print the upstreams of all groups or of one."""
     reply = await fetch_status(access)
     groups = {
@@ -113,7 +117,7 @@
     return ExitStatus.OK
 
 
-async def show_sessions(access: Access, output: Output) -> ExitStatus:
+async def show_sessions(access: ProxyAccess, output: Output) -> ExitStatus:
     """Print the callers' sessions of one proxy."""
     reply = await fetch_status(access, include_sessions=True)
     titles = list(dict.fromkeys(key for session in reply.sessions for key in session))
--- a/ebonyrack/ops/story.py
+++ b/ebonyrack/ops/timeline.py
@@ -20,7 +20,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class StoryQuestion:
+class TimelineQuery:
     """What is asked for.
 
     Attributes:
@@ -36,7 +36,7 @@
     after_s: float
 
 
-def show_story(question: StoryQuestion, output: Output) -> ExitStatus:
+def show_timeline(question: TimelineQuery, output: Output) -> ExitStatus:
     """Print the lines on a request and the beliefs of its proxies around it.
 
     Args:
@@ -76,7 +76,7 @@
 
 
 def find_beliefs(
-    lines: list[dict[str, Any]], own: list[dict[str, Any]], question: StoryQuestion
+    lines: list[dict[str, Any]], own: list[dict[str, Any]], question: TimelineQuery
 ) -> list[dict[str, Any]]:
     """Return the lines that change what the request's proxies believed around it.
 
--- a/ebonyrack/scripts/ctl.py
+++ b/ebonyrack/scripts/ctl.py
@@ -16,10 +16,10 @@
 from ebonyrack.core.address import parse_address
 from ebonyrack.core.settings import StoreSettings
 from ebonyrack.ops import configuration
-from ebonyrack.ops import orders
+from ebonyrack.ops import proxy_commands
 from ebonyrack.ops import status
 from ebonyrack.ops.base_file import read_text
-from ebonyrack.ops.client import Access
+from ebonyrack.ops.client import ProxyAccess
 from ebonyrack.ops.document_access import DirectDocument
 from ebonyrack.ops.document_access import DocumentAccess
 from ebonyrack.ops.document_access import ProxyDocument
@@ -27,8 +27,8 @@
 from ebonyrack.ops.exit_status import CommandError
 from ebonyrack.ops.exit_status import ExitStatus
 from ebonyrack.ops.output import Output
-from ebonyrack.ops.story import StoryQuestion
-from ebonyrack.ops.story import show_story
+from ebonyrack.ops.timeline import TimelineQuery
+from ebonyrack.ops.timeline import show_timeline
 from ebonyrack.scripts.arguments import read_address_argument
 from ebonyrack.store.consul_store import ConsulStore
 
@@ -156,7 +156,7 @@
     parser.add_argument("--wait-s", type=float, default=DEFAULT_WAIT_S, metavar="S")
 
 
-def build_access(options: argparse.Namespace) -> Access:
+def build_access(options: argparse.Namespace) -> ProxyAccess:
     """Build the way to the proxies from the options and the environment.
 
     Raises:
@@ -173,7 +173,7 @@
         text = f"name the secret's file by --secret-file or {SECRET_VARIABLE}"
         raise CommandError(ExitStatus.USAGE, text)
     password_file = options.password_file
-    return Access(
+    return ProxyAccess(
         proxies=tuple(proxies),
         secret=read_text(Path(options.secret_file)).strip(),
         operator=options.operator,
@@ -194,10 +194,10 @@
         case "check":
             return configuration.check_file(options.file, output)
         case "story":
-            question = StoryQuestion(
+            question = TimelineQuery(
                 options.request, tuple(options.log), options.before, options.after
             )
-            return show_story(question, output)
+            return show_timeline(question, output)
         case "config" if options.store is not None:
             settings = StoreSettings.model_validate(
                 {"address": options.store, "prefix": options.prefix}
@@ -215,10 +215,14 @@
         case "sessions":
             return await status.show_sessions(build_access(options), output)
         case "drain":
-            return await orders.drain(build_access(options), options.target, output)
+            return await proxy_commands.drain(
+                build_access(options), options.target, output
+            )
         case _:
             access = build_access(options)
-            return await orders.switch_over(access, options.group, options.to, output)
+            return await proxy_commands.switch_over(
+                access, options.group, options.to, output
+            )
 
 
 async def run_config(
--- a/ebonyrack/standins/execution.py
+++ b/ebonyrack/standins/execution.py
@@ -79,7 +79,7 @@
 ) -> Outcome:
     """Check the transaction's state, then run the statement by its verb."""
     transaction = session.transaction
-    check_not_doomed(transaction)
+    check_not_terminated(transaction)
     if statement.verb is Verb.COMMIT:
         return end_transaction(session, wants_commit=True)
     if statement.verb is Verb.ROLLBACK:
@@ -101,9 +101,9 @@
     return await run_write(session, statement, values)
 
 
-def check_not_doomed(transaction: Transaction | None) -> None:
+def check_not_terminated(transaction: Transaction | None) -> None:
     """End the session if its transaction was rolled back for a higher term."""
-    if transaction is not None and transaction.is_doomed:
+    if transaction is not None and transaction.is_terminated:
         raise SqlError("57P01", "the upstream is no longer primary", fatal=True)
 
 
@@ -195,7 +195,7 @@
     """Run a reading statement."""
     await session.hold_slot(0.0)
     transaction = session.transaction
-    check_not_doomed(transaction)
+    check_not_terminated(transaction)
     writing = transaction if transaction and transaction.is_writing else None
     result = session.upstream.database.read(statement.sql, values, writing)
     return Outcome(result, build_tag(statement, result))
@@ -215,7 +215,7 @@
     claims = find_claims(statement.text, values, unique)
     await upstream.begin_write(transaction, claims)
     await session.hold_slot(0.0)
-    check_not_doomed(transaction)
+    check_not_terminated(transaction)
     logged = LoggedStatement(statement.sql, values)
     result = upstream.database.write(logged, transaction)
     if statement.tag == "ROLLBACK":
--- a/ebonyrack/standins/locks.py
+++ b/ebonyrack/standins/locks.py
@@ -25,7 +25,7 @@
 AFTER_ROWS = re.compile(r"\b(?:ON\s+CONFLICT|RETURNING)\b", re.IGNORECASE)
 
 
-class ValueLocks:
+class LockTable:
     """Lets one open transaction at a time write a value.
 
     Rows aren't known before a statement runs, so the values by which it names them
--- a/ebonyrack/standins/session.py
+++ b/ebonyrack/standins/session.py
@@ -16,7 +16,7 @@
 from ebonyrack.standins.execution import end_implicit
 from ebonyrack.standins.execution import execute
 from ebonyrack.standins.execution import fail_transaction
-from ebonyrack.standins.extended import ExtendedQuery
+from ebonyrack.standins.extended_query import ExtendedQuery
 from ebonyrack.standins.faults import PROXIES
 from ebonyrack.standins.rows import encode_row_description
 from ebonyrack.standins.rows import encode_rows
@@ -101,7 +101,7 @@
             pass
         finally:
             self.upstream.sessions.pop(self.process_id, None)
-            if self.transaction is not None and not self.transaction.is_doomed:
+            if self.transaction is not None and not self.transaction.is_terminated:
                 self.upstream.rollback(self.transaction)
             self.writer.close()
 
@@ -203,13 +203,13 @@
         self.task.uncancel()
         return True
 
-    def doom_transaction(self) -> None:
+    def terminate_transaction(self) -> None:
         """Roll the open transaction back for a higher term and end the session."""
         transaction = self.transaction
         if transaction is None:
             return
         self.upstream.rollback(transaction)
-        transaction.is_doomed = True
+        transaction.is_terminated = True
         if self.is_executing:
             return
         error = SqlError("57P01", "the upstream is no longer primary", fatal=True)
--- a/ebonyrack/standins/storage.py
+++ b/ebonyrack/standins/storage.py
@@ -5,7 +5,7 @@
 import asyncio
 
 from ebonyrack.core.position import LogPosition
-from ebonyrack.standins.locks import ValueLocks
+from ebonyrack.standins.locks import LockTable
 from ebonyrack.standins.log import LogEntry
 from ebonyrack.standins.log import PositionWaiters
 from ebonyrack.standins.log import TransactionLog
@@ -35,7 +35,7 @@
         self.database = Database()
         self.received = PositionWaiters()
         self.applied = PositionWaiters()
-        self.locks = ValueLocks()
+        self.locks = LockTable()
         self.appended = asyncio.Event()
 
     def append(self, entry: LogEntry) -> None:
--- a/ebonyrack/standins/transaction.py
+++ b/ebonyrack/standins/transaction.py
@@ -25,7 +25,7 @@
         is_explicit: Whether BEGIN opened it; else the next Sync ends it.
         is_read_only: Whether it was opened READ ONLY.
         is_failed: Whether a statement failed, so that only ROLLBACK is accepted.
-        is_doomed: Whether the upstream rolled it back for a higher term.
+        is_terminated: Whether the upstream rolled it back for a higher term.
         is_writing: Whether it has written.
         time_us: Wall time of the first write, in microseconds.
         statements: Writing statements so far.
@@ -36,7 +36,7 @@
     is_explicit: bool
     is_read_only: bool = False
     is_failed: bool = False
-    is_doomed: bool = False
+    is_terminated: bool = False
     is_writing: bool = False
     time_us: int = 0
     statements: list[LoggedStatement] = field(default_factory=list)
--- a/ebonyrack/standins/upstream.py
+++ b/ebonyrack/standins/upstream.py
@@ -12,7 +12,7 @@
 from ebonyrack.core.position import LogPosition
 from ebonyrack.core.tasks import end_tasks
 from ebonyrack.standins.faults import UpstreamFaults
-from ebonyrack.standins.locks import ValueLocks
+from ebonyrack.standins.locks import LockTable
 from ebonyrack.standins.log import LogEntry
 from ebonyrack.standins.options import UpstreamOptions
 from ebonyrack.standins.replication import LogFollower
@@ -139,7 +139,7 @@
         self.role = Role.REPLICA
         self.sessions.clear()
         self.slots = asyncio.Semaphore(self.options.slots)
-        self.locks = ValueLocks()
+        self.locks = LockTable()
         self.faults.apply(frozen=False)
         await self.start()
 
@@ -213,7 +213,7 @@
             return
         for session in list(self.sessions.values()):
             if session.transaction is not None:
-                session.doom_transaction()
+                session.terminate_transaction()
 
     async def promote(self, term: int) -> LogPosition:
         """Become primary in a granted term and write the term-start entry.
