--- a/ebonyrack/callers/fault_matrix_test.py
+++ b/ebonyrack/callers/fault_matrix_test.py
@@ -184,7 +184,7 @@
     assert cell.has_struck
     await asyncio.gather(*cell.tasks)
     for name in NAMES:
-        proxy.standins.thaw(name)
+        proxy.standins.resume(name)
     for pool, connection in holders:
         pool.release(connection)
     caller.abort()
--- a/ebonyrack/callers/overlapping_test.py
+++ b/ebonyrack/callers/overlapping_test.py
@@ -63,7 +63,7 @@
     (connection,) = proxy.pool("up-2").busy
     await wait_until(lambda: connection.frames.buffer.endswith(READY))
     for name in ("up-1", "up-3"):
-        proxy.standins.thaw(name)
+        proxy.standins.resume(name)
     assert await (await reading).fetchall() == [("new",)]
     return connection
 
@@ -138,7 +138,7 @@
         assert len(connection.frames.buffer) < READ_BUFFER_BYTES + CHUNK_BYTES
         assert not reading.done()
         for name in ("up-1", "up-3"):
-            proxy.standins.thaw(name)
+            proxy.standins.resume(name)
         rows = await (await reading).fetchall()
         assert rows == [("x" * 100_000,)] * 30
         assert placed[-1] == ("read_placed", "overlapped", "up-2")
@@ -159,7 +159,7 @@
         await caller.cancel_safe()
         await wait_until(lambda: connection.is_cancelled)
         for name in ("up-1", "up-3"):
-            proxy.standins.thaw(name)
+            proxy.standins.resume(name)
         with pytest.raises(psycopg.errors.QueryCanceled):
             await reading
         assert [event for event, *_ in placed] == ["read_overlap_dropped"]
--- a/ebonyrack/callers/session_test.py
+++ b/ebonyrack/callers/session_test.py
@@ -240,7 +240,7 @@
     check_sessions(proxy.sessions, now_s() + proxy.group.section.answer_wait_s + 1)
     frames = await running
     assert error_of(frames)[0] == "08006" and frames[-1] == (b"Z", b"E")
-    proxy.standins.thaw("up-1")
+    proxy.standins.resume("up-1")
 
 
 async def test_a_key_makes_a_lone_write_run_once(proxy):
--- a/ebonyrack/config/fault_matrix_test.py
+++ b/ebonyrack/config/fault_matrix_test.py
@@ -194,10 +194,10 @@
 async def bench(fleet):
     for _ in range(3):
         await fleet.add()
-    await fleet.wait_linked()
+    await fleet.wait_until_connected()
     made = Bench(fleet)
     assert isinstance(await made.edit_directly(made.first, "", "", "one"), Accepted)
-    await fleet.wait_revision(1)
+    await fleet.wait_for_revision(1)
     yield made
     await made.finish()
 
@@ -211,7 +211,7 @@
     edit = build_edit("mine", "ada", bench.first.state.stored, wanted)
     bench.arm(step, fault, monkeypatch)
     revision = await bench.edit_until_accepted(edit)
-    await bench.fleet.wait_revision(revision)
+    await bench.fleet.wait_for_revision(revision)
     # The fault is injected in a separate task, which may run after the last step.
     await wait_until(lambda: bench.action is None)
     await bench.finish()
@@ -238,8 +238,8 @@
     elif fault != "none":
         await getattr(bench, f"inject_{fault}")()
     late = await fleet.add("late")
-    await fleet.wait_revision(1)
-    await fleet.wait_linked()
+    await fleet.wait_for_revision(1)
+    await fleet.wait_until_connected()
     assert late.state.stored == bench.third.state.stored
     assert late.state.revision == 1
 
@@ -253,7 +253,7 @@
         await bench.first.hub.announce_leaving()
     elif fault != "killed":
         await bench.finish()
-        await fleet.wait_linked()
+        await fleet.wait_until_connected()
         await bench.first.hub.announce_leaving()
     others = [bench.second, bench.third]
     names = [plane.name for plane in others]
@@ -275,4 +275,4 @@
         bench.second, "user = booking", "user = after", "after"
     )
     assert isinstance(outcome, Accepted)
-    await fleet.wait_revision(outcome.revision)
+    await fleet.wait_for_revision(outcome.revision)
--- a/ebonyrack/config/watch_test.py
+++ b/ebonyrack/config/watch_test.py
@@ -29,24 +29,24 @@
 async def test_an_accepted_edit_comes_into_force_everywhere(fleet):
     for _ in range(4):
         await fleet.add()
-    await fleet.wait_linked()
-    await fleet.wait_revision(await accept(fleet.planes[2]))
+    await fleet.wait_until_connected()
+    await fleet.wait_for_revision(await accept(fleet.planes[2]))
     revision = await accept(fleet.planes[3], "user = booking", "user = new", "second")
-    await fleet.wait_revision(revision)
+    await fleet.wait_for_revision(revision)
     assert len({plane.state.stored for plane in fleet.planes}) == 1
 
 
 async def test_few_proxies_of_a_data_centre_watch_the_store(fleet):
     for number in range(6):
         await fleet.add(data_centre=f"dc-{number % 2}", watchers=1)
-    await fleet.wait_linked()
+    await fleet.wait_until_connected()
     watchers = [plane for plane in fleet.planes if plane.watch.is_watcher]
     assert len(watchers) == 2
     assert len({plane.settings.proxy.data_centre for plane in watchers}) == 2
     # A change written directly to the store arrives through the watchers.
     stored = pack_stored(DirectEdit(3).stored)
     fleet.platform.state.put("ebonyrack/document", stored, None, 0)
-    await fleet.wait_revision(3)
+    await fleet.wait_for_revision(3)
 
 
 class DirectEdit:
@@ -59,7 +59,7 @@
     revision = await accept(first)
     await fleet.platform.stop()
     late = await fleet.add("late")
-    await fleet.wait_revision(revision)
+    await fleet.wait_for_revision(revision)
     assert late.state.document.groups.keys() == {"a"}
 
 
@@ -69,7 +69,7 @@
     await accept(first, "user = booking", "user = new", "second")
     fleet.platform.stale_reads = 3
     late = await fleet.add("late")
-    await fleet.wait_revision(2)
+    await fleet.wait_for_revision(2)
     seen = []
     late.state.subscribe(lambda document: seen.append(document.revision))
     old = DirectEdit(1).stored
@@ -83,7 +83,7 @@
 async def test_a_proxy_alone_without_the_store_is_cut_off(fleet):
     first = await fleet.add()
     second = await fleet.add("second")
-    await fleet.wait_linked()
+    await fleet.wait_until_connected()
     await accept(first)
     await fleet.platform.stop()
     await wait_until(lambda: now_s() - first.store.answered_at_s > 0.7)
@@ -115,7 +115,7 @@
     await accept(first)
     if has_peer:
         await fleet.add("second")
-        await fleet.wait_linked()
+        await fleet.wait_until_connected()
     # Contact before the pause doesn't count, even while nobody replies now.
     held = first.hub.links.copy()
     if not has_peer:
@@ -154,13 +154,13 @@
     if fault == "stopped":
         await fleet.platform.start()
     revision = await accept(plane, "user = booking", "user = new", "second")
-    await fleet.wait_revision(revision)
+    await fleet.wait_for_revision(revision)
 
 
 async def test_leaving_vms_are_known_everywhere(fleet):
     for _ in range(4):
         await fleet.add(watchers=1)
-    await fleet.wait_linked()
+    await fleet.wait_until_connected()
     changes = []
     for plane in fleet.planes:
         plane.watch.leaving_vms.subscribe(lambda: changes.append(1))
@@ -177,12 +177,12 @@
 async def test_whole_document_is_fetched_if_changes_do_not_apply(fleet):
     first = await fleet.add()
     second = await fleet.add()
-    await fleet.wait_linked()
-    await fleet.wait_revision(await accept(first))
+    await fleet.wait_until_connected()
+    await fleet.wait_for_revision(await accept(first))
     other = type(EMPTY_STORED)(1, TEXT + "# drifted\n", ())
     second.state.stored = other
     revision = await accept(first, "user = booking", "user = new", "second")
-    await fleet.wait_revision(revision)
+    await fleet.wait_for_revision(revision)
     assert second.state.stored == first.state.stored
 
 
@@ -199,12 +199,12 @@
 async def test_revision_lost_on_a_link_is_fetched_after_the_next_heartbeat(fleet):
     first = await fleet.add(watchers=1)
     second = await fleet.add(watchers=1)
-    await fleet.wait_linked()
-    await fleet.wait_revision(await accept(first))
+    await fleet.wait_until_connected()
+    await fleet.wait_for_revision(await accept(first))
     watcher = first if first.watch.is_watcher else second
     other = second if watcher is first else first
     watcher.hub.send_to_links = lambda message, source: None
     async with asyncio.timeout(10):
         await accept(watcher, "user = booking", "user = new", "second")
     assert Heartbeat in other.hub.handlers
-    await fleet.wait_revision(2)
+    await fleet.wait_for_revision(2)
--- a/ebonyrack/failover/bench_test.py
+++ b/ebonyrack/failover/bench_test.py
@@ -267,8 +267,8 @@
         for name, upstream in self.standins.upstreams.items():
             if not upstream.is_running:
                 await self.standins.restart(name)
-            self.standins.thaw(name)
-            self.standins.delay(name, 0.0)
+            self.standins.resume(name)
+            self.standins.delay_answers(name, 0.0)
         self.standins.heal()
 
     async def abandon_ballot(self, *names):
--- a/ebonyrack/failover/failover_test.py
+++ b/ebonyrack/failover/failover_test.py
@@ -34,7 +34,7 @@
     await write_some(proxy, 0, 3)
     bench.standins.freeze("up-1")
     await proxy.write_until_acknowledged("r-3")
-    bench.standins.thaw("up-1")
+    bench.standins.resume("up-1")
     term = proxy.group.term
     await until(lambda: proxy.group.upstreams["up-1"].is_following(term))
     await until(lambda: bench.read_requests("up-1") == ["r-0", "r-1", "r-2", "r-3"])
@@ -175,7 +175,7 @@
 
 async def test_switchover_to_a_target_with_higher_latency_succeeds(start_bench):
     bench = await start_bench(proxies=2)
-    bench.standins.delay("up-2", 0.03)
+    bench.standins.delay_answers("up-2", 0.03)
     outcome = await bench.by_rank()[0].coordinator.switch_over("up-2")
     assert outcome.succeeded, outcome.text
 
--- a/ebonyrack/failover/fault_matrix_test.py
+++ b/ebonyrack/failover/fault_matrix_test.py
@@ -74,7 +74,7 @@
 
 async def thaw_later(standins, name):
     await asyncio.sleep(OUTAGE_S)
-    standins.thaw(name)
+    standins.resume(name)
 
 
 async def heal_later(standins):
@@ -100,7 +100,7 @@
 
 def thaw_the_old_primary(injector):
     async def fault(ballot):
-        injector.bench.standins.thaw("up-1")
+        injector.bench.standins.resume("up-1")
 
     injector.inject_before_step(fault)
 
@@ -266,7 +266,7 @@
         # The old primary comes back while the callers continue to write.
         if not bench.standins["up-1"].is_running:
             await bench.standins.restart("up-1")
-        bench.standins.thaw("up-1")
+        bench.standins.resume("up-1")
         bench.standins.heal()
         await callers.wait_for_writes(2)
     await callers.check()
@@ -294,7 +294,7 @@
         await callers.wait_for_writes(1)
         await asyncio.gather(*injector.tasks)
         bench.network.cut.clear()
-        bench.standins.thaw("up-1")
+        bench.standins.resume("up-1")
         await callers.wait_for_writes(1)
     await callers.check()
 
--- a/ebonyrack/failover/group_machine_test.py
+++ b/ebonyrack/failover/group_machine_test.py
@@ -145,7 +145,7 @@
     @rule()
     def thaw_all(self):
         for name in UPSTREAMS:
-            self.standins.thaw(name)
+            self.standins.resume(name)
 
     @rule(
         one=st.sampled_from(UPSTREAMS),
@@ -177,7 +177,7 @@
     )
     def slow_down(self, name, delay_s):
         """Delay an upstream's replies, but not enough for it to count as lost."""
-        self.standins.delay(name, delay_s)
+        self.standins.delay_answers(name, delay_s)
 
     @rule(lag_s=st.sampled_from([0.0, 0.02, 0.3]))
     def set_lag(self, lag_s):
@@ -315,7 +315,7 @@
         self.bench.network.cut.clear()
         self.resume_all()
         for upstream in self.standins.upstreams.values():
-            upstream.faults.lost_commits = 0
+            upstream.faults.lost_commit_answers = 0
         for proxy in self.bench.proxies.values():
             for upstream in proxy.group.upstreams.values():
                 upstream.__dict__.pop("call", None)
--- a/ebonyrack/failover/slowness_test.py
+++ b/ebonyrack/failover/slowness_test.py
@@ -29,7 +29,7 @@
 
 async def test_slow_primary_is_replaced_without_interrupting_writes(start_bench):
     bench = await start_bench(proxies=3, **SLOW)
-    bench.standins.delay("up-1", DELAY_S)
+    bench.standins.delay_answers("up-1", DELAY_S)
     groups = [proxy.group for proxy in bench.proxies.values()]
     written = await bench.write_while(
         lambda: any(group.primary_name == "up-1" for group in groups)
@@ -41,7 +41,7 @@
 async def test_primary_stays_if_all_upstreams_are_equally_slow(start_bench):
     bench = await start_bench(proxies=3, **SLOW)
     for name in bench.standins.names:
-        bench.standins.delay(name, DELAY_S)
+        bench.standins.delay_answers(name, DELAY_S)
     first = bench.by_rank()[0]
     groups = [proxy.group for proxy in bench.proxies.values()]
     await until(lambda: all(group.upstreams["up-1"].is_slow for group in groups))
@@ -53,7 +53,7 @@
     bench = await start_bench(proxies=1, **SLOW)
     proxy = bench.proxies["proxy-1"]
     for name in ("up-1", "up-2"):
-        bench.standins.delay(name, DELAY_S)
+        bench.standins.delay_answers(name, DELAY_S)
     await until(lambda: proxy.group.upstreams["up-1"].is_slow)
     await check_repeatedly(proxy.coordinator.slowness)
     assert proxy.group.term == 1
@@ -94,7 +94,7 @@
     primary = proxy.group.primary()
     connection = await primary.pool.acquire("tests", now_s() + 5)
     await connection.query("BEGIN", 5.0)
-    bench.standins.delay("up-1", DELAY_S)
+    bench.standins.delay_answers("up-1", DELAY_S)
     await until(lambda: slowness.failed_attempts == slowness_module.UNFORCED_ATTEMPTS)
     assert not connection.is_closed
     await until(lambda: proxy.group.primary_name != "up-1")
--- a/ebonyrack/load/soak.py
+++ b/ebonyrack/load/soak.py
@@ -93,7 +93,7 @@
     try:
         async with asyncio.timeout(2.0):
             async with LineCaller(daemon.address, "booking") as caller:
-                answer = await caller.ask(f"WRITE recovery-{daemon.name} x")
+                answer = await caller.execute(f"WRITE recovery-{daemon.name} x")
                 return bool(answer) and answer[0].startswith("COMPLETE")
     except (OSError, TimeoutError):
         return False
@@ -108,7 +108,7 @@
     """Check the group's log against what the callers were told."""
     faults = [fault for caller in callers for fault in caller.ledger.faults]
     faults += [f"{name} did not recover" for name in unserved]
-    leader = system.group.leader
+    leader = system.group.primary
     kept = Counter(
         data
         for entry in (leader.log if leader is not None else [])
--- a/ebonyrack/load/soak_caller.py
+++ b/ebonyrack/load/soak_caller.py
@@ -98,7 +98,7 @@
 
     async def use_session(self, caller: LineCaller) -> None:
         """Use a session for some requests, each read after a write in it."""
-        if not caller.greeting.startswith("READY"):
+        if not caller.startup_reply.startswith("READY"):
             return
         # A session of its own sees what it has done itself; on the other database
         # reads see what anybody has done.
@@ -142,7 +142,7 @@
     async def ask(self, caller: LineCaller, text: str) -> list[str]:
         """Ask within a time; an answer that breaks off ends the session."""
         async with asyncio.timeout(ANSWER_TIMEOUT_S):
-            answer = await caller.ask(text)
+            answer = await caller.execute(text)
         if not answer or not answer[-1].startswith("READY"):
             if text.startswith(("WRITE", "COMMIT")):
                 return []
--- a/ebonyrack/load/soak_faults.py
+++ b/ebonyrack/load/soak_faults.py
@@ -100,11 +100,11 @@
 async def deafen_replica(system: SoakSystem, length_s: float) -> None:
     """Let an upstream receive nothing for a while."""
     member = system.draw_link().upstream.member
-    member.is_deaf = True
+    member.is_replication_blocked = True
     try:
         await asyncio.sleep(length_s)
     finally:
-        member.is_deaf = False
+        member.is_replication_blocked = False
 
 
 @FAULTS.register("lag_replica")
@@ -123,17 +123,17 @@
     system: SoakSystem, length_s: float
 ) -> None:
     """Let one replica receive nothing, and crash the primary meanwhile."""
-    leader = system.group.leader
+    leader = system.group.primary
     if leader is None:
         return
     others = [each for each in system.group.members.values() if each is not leader]
     deaf = system.draws.choice(others)
-    deaf.is_deaf = True
+    deaf.is_replication_blocked = True
     try:
         await asyncio.sleep(length_s)
         await crash(system.upstreams[leader.member_id], CRASH_S)
     finally:
-        deaf.is_deaf = False
+        deaf.is_replication_blocked = False
 
 
 @FAULTS.register("refuse_store")
--- a/ebonyrack/load/soak_system.py
+++ b/ebonyrack/load/soak_system.py
@@ -66,10 +66,10 @@
             daemon = SoakDaemon(f"proxy-{number}", self.folder, self.service.address)
             self.daemons.append(await self.stack.enter_async_context(daemon))
 
-    async def beat(self, upstream: LineUpstream, **changes: object) -> None:
+    async def publish_entry(self, upstream: LineUpstream, **changes: object) -> None:
         """Write an upstream's entry, with the address of its loopback proxy."""
         link = self.links[upstream.member.member_id]
-        await super().beat(upstream, address=str(link.address), **changes)
+        await super().publish_entry(upstream, address=str(link.address), **changes)
 
     def draw_link(self) -> FaultLink:
         """Return any loopback proxy."""
--- a/ebonyrack/ops/ctl_test.py
+++ b/ebonyrack/ops/ctl_test.py
@@ -53,7 +53,7 @@
     async with Fleet() as made:
         for _ in range(3):
             await made.add()
-        await made.wait_linked()
+        await made.wait_until_connected()
         yield made
 
 
@@ -74,7 +74,7 @@
     assert (await tool.run("config", "apply", mine))[1]["revision"] == 2
     status, report = await tool.run("config", "apply", other, "--wait")
     assert (status, report["revision"]) == (ExitStatus.OK, 3)
-    await fleet.wait_revision(3)
+    await fleet.wait_for_revision(3)
     assert "user = mine" in fleet.planes[2].state.document.text
     # The files are up to date now; a stale one loses the race on its section.
     stale = tool.write(TEXT.replace("user = booking", "user = stale"), "stale.ini")
@@ -136,7 +136,7 @@
 
 async def test_another_proxy_settles_a_lost_answer_by_itself(tool, fleet):
     await tool.run("config", "apply", tool.write(TEXT))
-    await fleet.wait_revision(1)
+    await fleet.wait_for_revision(1)
 
     async def cut_link(link, message):
         link.close()
@@ -162,7 +162,7 @@
     tool.options += ["--store", str(fleet.platform.address)]
     status, report = await tool.run("config", "apply", tool.write(TEXT))
     assert (status, report["revision"]) == (ExitStatus.OK, 1)
-    await fleet.wait_revision(1)
+    await fleet.wait_for_revision(1)
     status, report = await tool.run("config", "get", "--section", "group a")
     assert report["text"].startswith("[group a]\n")
     await fleet.platform.stop()
@@ -222,7 +222,7 @@
         assert status == ExitStatus.OK, report
         status, report = await tool.run("drain", "proxy-2")
         assert status == ExitStatus.OK
-        assert await system.serving["proxy-2"] == 0
+        assert await system.serve_tasks["proxy-2"] == 0
 
 
 OPERATORS = """
--- a/ebonyrack/promotion/promoter_test.py
+++ b/ebonyrack/promotion/promoter_test.py
@@ -25,7 +25,7 @@
     address = system.proxies[0].proxy.settings.caller_address
     async with LineCaller(address, "booking") as caller:
         for number in range(count):
-            answer = await caller.ask(f"WRITE slot-{number} mali")
+            answer = await caller.execute(f"WRITE slot-{number} mali")
             assert answer[0].startswith("COMPLETE")
 
 
@@ -39,7 +39,7 @@
     assert await promoter.is_serving_primary(participant)
     participant.close()
     newest = promoter.group.position_history.samples[-1].position
-    assert newest == system.group.members["up-1"].received
+    assert newest == system.group.members["up-1"].received_position
 
 
 async def test_replicas_stay_paused_while_an_accepted_order_may_still_be_carried_out(
@@ -47,10 +47,10 @@
 ):
     monkeypatch.setattr("ebonyrack.promotion.promoter.PRIMARY_WAIT_S", 0.2)
     await write(system, 3)
-    system.service.promote_s = 60.0
+    system.service.promotion_duration_s = 60.0
     result = await get_promoter(system).run(PrimaryHealth.LEAVING)
     assert result is PromotionResult.NOT_PRIMARY
-    assert any(member.held_term for member in system.group.members.values())
+    assert any(member.paused_below_term for member in system.group.members.values())
 
 
 async def test_replicas_resume_after_an_order_that_was_not_accepted(
@@ -69,7 +69,7 @@
 
     monkeypatch.setattr(type(promoter), "send_order", lambda self, *rest: refuse(*rest))
     assert await promoter.run(PrimaryHealth.LEAVING) is PromotionResult.NOT_ACCEPTED
-    assert not any(member.held_term for member in system.group.members.values())
+    assert not any(member.paused_below_term for member in system.group.members.values())
 
 
 async def test_healthy_primary_that_seems_silent_is_not_replaced(system):
@@ -92,7 +92,7 @@
     assert not running.done()
     system.upstreams["up-1"].faults.is_silent = False
     assert await running is PromotionResult.NOT_NEEDED
-    assert not any(member.held_term for member in system.group.members.values())
+    assert not any(member.paused_below_term for member in system.group.members.values())
 
 
 async def test_pause_by_a_later_lease_holder_is_not_resumed(system):
@@ -100,10 +100,10 @@
     participant = PromotionParticipant(promoter.group.members["up-2"])
     await participant.connect()
     await participant.pause(5)
-    system.group.members["up-2"].held_term = 6
+    system.group.members["up-2"].paused_below_term = 6
     await participant.resume()
-    assert system.group.members["up-2"].held_term == 6
-    system.group.members["up-2"].held_term = 5
+    assert system.group.members["up-2"].paused_below_term == 6
+    system.group.members["up-2"].paused_below_term = 5
     await participant.resume()
-    assert system.group.members["up-2"].held_term == 0
+    assert system.group.members["up-2"].paused_below_term == 0
     participant.close()
--- a/ebonyrack/scripts/arguments.py
+++ b/ebonyrack/scripts/arguments.py
@@ -8,7 +8,7 @@
 from ebonyrack.core.address import parse_address
 
 
-def read_address_argument(text: str) -> Address:
+def parse_address_argument(text: str) -> Address:
     """Read an address for argparse."""
     try:
         return parse_address(text)
@@ -16,15 +16,15 @@
         raise argparse.ArgumentTypeError(str(error)) from None
 
 
-def read_peer_argument(text: str) -> tuple[str, Address]:
+def parse_peer_argument(text: str) -> tuple[str, Address]:
     """Read `name=IP:port` for argparse."""
     name, equals, address = text.partition("=")
     if not (name and equals):
         raise argparse.ArgumentTypeError(f"expected name=IP:port, found {text!r}")
-    return name, read_address_argument(address)
+    return name, parse_address_argument(address)
 
 
-def read_not_negative(text: str) -> float:
+def parse_non_negative(text: str) -> float:
     """Read a number of at least 0 for argparse."""
     try:
         value = float(text)
--- a/ebonyrack/scripts/ctl.py
+++ b/ebonyrack/scripts/ctl.py
@@ -29,7 +29,7 @@
 from ebonyrack.ops.output import Output
 from ebonyrack.ops.story import StoryQuestion
 from ebonyrack.ops.story import show_story
-from ebonyrack.scripts.arguments import read_address_argument
+from ebonyrack.scripts.arguments import parse_address_argument
 from ebonyrack.store.consul_store import ConsulStore
 
 PROXIES_VARIABLE = "EBONYRACK_PROXIES"
@@ -90,7 +90,7 @@
     parser.add_argument(
         "--proxy",
         action="append",
-        type=read_address_argument,
+        type=parse_address_argument,
         metavar="IP:PORT",
         help=f"peer address of a proxy, may be repeated (or {PROXIES_VARIABLE})",
     )
@@ -113,7 +113,7 @@
     )
     parser.add_argument(
         "--store",
-        type=read_address_argument,
+        type=parse_address_argument,
         metavar="IP:PORT",
         help="read and change the document in the platform's store, without a proxy",
     )
--- a/ebonyrack/scripts/daemon.py
+++ b/ebonyrack/scripts/daemon.py
@@ -13,7 +13,7 @@
 from ebonyrack.core import metrics
 from ebonyrack.core.settings import Settings
 from ebonyrack.core.settings import parse_settings
-from ebonyrack.scripts.settings_text import print_faults
+from ebonyrack.scripts.settings_text import print_config_errors
 from ebonyrack.scripts.settings_text import read_settings_text
 from ebonyrack.service.proxy import Proxy
 
@@ -62,7 +62,7 @@
     if text is None:
         return None
     settings, faults = parse_settings(text, str(path))
-    print_faults(faults)
+    print_config_errors(faults)
     return settings
 
 
--- a/ebonyrack/scripts/load_arguments.py
+++ b/ebonyrack/scripts/load_arguments.py
@@ -8,8 +8,8 @@
 
 from ebonyrack.load import experiments  # noqa: F401 (fills the registry)
 from ebonyrack.load.context import EXPERIMENTS
-from ebonyrack.scripts.arguments import read_address_argument
-from ebonyrack.scripts.arguments import read_not_negative
+from ebonyrack.scripts.arguments import parse_address_argument
+from ebonyrack.scripts.arguments import parse_non_negative
 
 DESCRIPTION = "Loads proxies, runs experiments around them and reports the results."
 
@@ -40,7 +40,7 @@
     soak.add_argument(
         "--seeds", type=int, default=1, help="how many, one after another"
     )
-    soak.add_argument("--seconds", type=read_not_negative, default=10.0)
+    soak.add_argument("--seconds", type=parse_non_negative, default=10.0)
     soak.add_argument("--processes", type=int, default=3, help="proxy processes")
     soak.add_argument("--callers", type=int, default=8)
 
@@ -51,9 +51,9 @@
     add_targets(booking)
     booking.add_argument("--database", default="booking")
     booking.add_argument("--callers", type=int, default=20)
-    booking.add_argument("--duration-s", type=read_not_negative, default=20.0)
-    booking.add_argument("--write-share", type=read_not_negative, default=0.1)
-    booking.add_argument("--think-s", type=read_not_negative, default=0.0)
+    booking.add_argument("--duration-s", type=parse_non_negative, default=20.0)
+    booking.add_argument("--write-share", type=parse_non_negative, default=0.1)
+    booking.add_argument("--think-s", type=parse_non_negative, default=0.0)
     booking.add_argument(
         "--mark", type=Path, help="file with the wall time of an injected fault"
     )
@@ -64,7 +64,7 @@
     document = commands.add_parser(
         "document", help="put the first operators' document into an empty store"
     )
-    document.add_argument("--store", required=True, type=read_address_argument)
+    document.add_argument("--store", required=True, type=parse_address_argument)
     document.add_argument("--prefix", default="ebonyrack")
     document.add_argument("--file", required=True, type=Path)
 
@@ -72,11 +72,11 @@
 def add_bench(commands: Commands) -> None:
     """Add the command that compares a proxy with the direct connection."""
     bench = commands.add_parser("bench", help="compare with the direct connection")
-    bench.add_argument("--proxy", required=True, type=read_address_argument)
-    bench.add_argument("--upstream", required=True, type=read_address_argument)
+    bench.add_argument("--proxy", required=True, type=parse_address_argument)
+    bench.add_argument("--upstream", required=True, type=parse_address_argument)
     bench.add_argument("--proxy-pid", required=True, type=int)
     bench.add_argument("--callers", type=int, default=32)
-    bench.add_argument("--duration-s", type=read_not_negative, default=5.0)
+    bench.add_argument("--duration-s", type=parse_non_negative, default=5.0)
     bench.add_argument("--idle-callers", type=int, default=2500)
     add_results(bench)
 
@@ -86,7 +86,7 @@
     idle = commands.add_parser("idle-cost", help="processor time and memory at rest")
     idle.add_argument("--pids", nargs="+", required=True, type=int)
     idle.add_argument("--groups", required=True, type=int)
-    idle.add_argument("--duration-s", type=read_not_negative, default=15.0)
+    idle.add_argument("--duration-s", type=parse_non_negative, default=15.0)
     add_results(idle)
 
 
@@ -97,16 +97,16 @@
     add_targets(experiment)
     for name in ("store", "control"):
         experiment.add_argument(
-            f"--{name}", required=True, type=read_address_argument, metavar="IP:PORT"
+            f"--{name}", required=True, type=parse_address_argument, metavar="IP:PORT"
         )
     experiment.add_argument("--proxy-logs", nargs="*", type=Path, default=[])
     experiment.add_argument(
-        "--peers", nargs="*", type=read_address_argument, default=[], metavar="IP:PORT"
+        "--peers", nargs="*", type=parse_address_argument, default=[], metavar="IP:PORT"
     )
     experiment.add_argument("--peer-secret", default="")
     experiment.add_argument("--document", required=True, type=Path)
     experiment.add_argument("--trials", type=int, default=20)
-    experiment.add_argument("--duration-s", type=read_not_negative, default=15.0)
+    experiment.add_argument("--duration-s", type=parse_non_negative, default=15.0)
     experiment.add_argument("--policies", nargs="*", default=[])
     experiment.add_argument("--faults", nargs="*", default=[])
     add_results(experiment)
@@ -122,14 +122,14 @@
     measure.add_argument("--nodes", type=int, required=True)
     measure.add_argument("--groups", type=int, default=3)
     measure.add_argument("--edits", type=int, default=100)
-    measure.add_argument("--idle-s", type=read_not_negative, default=15.0)
+    measure.add_argument("--idle-s", type=parse_non_negative, default=15.0)
     measure.add_argument("--logs", nargs="+", type=Path, required=True)
     measure.add_argument("--victim", type=Path, required=True)
     add_results(measure)
     for parser in (host, measure):
         parser.add_argument("--network", required=True, metavar="IP")
         parser.add_argument(
-            "--store", required=True, type=read_address_argument, metavar="IP:PORT"
+            "--store", required=True, type=parse_address_argument, metavar="IP:PORT"
         )
 
 
@@ -147,7 +147,7 @@
             f"--{name}",
             nargs="+",
             required=True,
-            type=read_address_argument,
+            type=parse_address_argument,
             metavar="IP:PORT",
         )
     parser.add_argument("--user", default="booking")
--- a/ebonyrack/scripts/route_daemon.py
+++ b/ebonyrack/scripts/route_daemon.py
@@ -23,7 +23,7 @@
 from ebonyrack.platform.proxy import PlatformProxy
 from ebonyrack.platform.settings_file import PATH_VARIABLE
 from ebonyrack.platform.settings_file import parse_settings
-from ebonyrack.scripts.settings_text import print_faults
+from ebonyrack.scripts.settings_text import print_config_errors
 from ebonyrack.scripts.settings_text import read_settings_text
 
 EXIT_OK = 0
@@ -95,7 +95,7 @@
         return None
     found = parse_settings(text, str(path))
     if isinstance(found, Err):
-        print_faults(found.err_value)
+        print_config_errors(found.err_value)
         return None
     return found.ok_value
 
--- a/ebonyrack/scripts/settings_text.py
+++ b/ebonyrack/scripts/settings_text.py
@@ -22,7 +22,7 @@
         return None
 
 
-def print_faults(faults: Iterable[ConfigError]) -> None:
+def print_config_errors(faults: Iterable[ConfigError]) -> None:
     """Print every fault of the settings to standard error.
 
     Args:
--- a/ebonyrack/scripts/standin.py
+++ b/ebonyrack/scripts/standin.py
@@ -9,9 +9,9 @@
 from collections.abc import Sequence
 from contextlib import AsyncExitStack
 
-from ebonyrack.scripts.arguments import read_address_argument
-from ebonyrack.scripts.arguments import read_not_negative
-from ebonyrack.scripts.arguments import read_peer_argument
+from ebonyrack.scripts.arguments import parse_address_argument
+from ebonyrack.scripts.arguments import parse_non_negative
+from ebonyrack.scripts.arguments import parse_peer_argument
 from ebonyrack.standins.control import FaultControl
 from ebonyrack.standins.group import FIRST_TERM
 from ebonyrack.standins.group import StandinGroup
@@ -44,7 +44,7 @@
         "--peers",
         nargs="*",
         default=[],
-        type=read_peer_argument,
+        type=parse_peer_argument,
         metavar="NAME=IP:PORT",
         help="the other upstreams; an initial replica follows the first of them",
     )
@@ -54,14 +54,14 @@
         "--listen",
         nargs="+",
         required=True,
-        type=read_address_argument,
+        type=parse_address_argument,
         metavar="IP:PORT",
         help="address of each upstream; the first starts as primary",
     )
     group.add_argument("--name-prefix", default="up")
     group.add_argument(
         "--control",
-        type=read_address_argument,
+        type=parse_address_argument,
         metavar="IP:PORT",
         help="address of the HTTP interface for faults",
     )
@@ -72,7 +72,7 @@
 def add_listen(parser: argparse.ArgumentParser) -> None:
     """Add the address to listen on."""
     parser.add_argument(
-        "--listen", required=True, type=read_address_argument, metavar="IP:PORT"
+        "--listen", required=True, type=parse_address_argument, metavar="IP:PORT"
     )
 
 
@@ -86,7 +86,7 @@
     for name in TIMES:
         option = "--" + name.replace("_", "-")
         default = getattr(defaults, name)
-        parser.add_argument(option, type=read_not_negative, default=default)
+        parser.add_argument(option, type=parse_non_negative, default=default)
 
 
 def build_options(arguments: argparse.Namespace) -> UpstreamOptions:
--- a/ebonyrack/service/region_test.py
+++ b/ebonyrack/service/region_test.py
@@ -20,7 +20,7 @@
 from ebonyrack.service.proxy_test import connect
 from ebonyrack.service.proxy_test import count
 from ebonyrack.standins.control_plane import wait_until
-from ebonyrack.standins.network import DIALLER
+from ebonyrack.standins.network import DIALLING_SITE
 from ebonyrack.standins.network import Network
 from ebonyrack.standins.system import GROUP
 from ebonyrack.standins.system import System
@@ -122,7 +122,7 @@
         await self.network.start()
         await self.system.start()
         self.group.set_lag(0.0, receive_delay_s=RECEIVE_DELAY_S)
-        ports = self.network.places
+        ports = self.network.site_by_port
         ports[self.system.platform.address.port] = self.store_site
         for upstream, site in zip(
             self.group.upstreams.values(), self.sites, strict=False
@@ -140,10 +140,10 @@
 
     async def start_proxy(self, number):
         name, site = f"proxy-{number}", self.sites[number - 1]
-        token = DIALLER.set(site)
+        token = DIALLING_SITE.set(site)
         proxy = await self.system.start_proxy(name, site)
-        DIALLER.reset(token)
-        self.network.places[proxy.hub.address.port] = site
+        DIALLING_SITE.reset(token)
+        self.network.site_by_port[proxy.hub.address.port] = site
         seen = self.revisions.setdefault(proxy, [])
         proxy.configuration.subscribe(lambda document: seen.append(document.revision))
 
@@ -249,7 +249,7 @@
             await group.restart(upstream)
             await deployment.start_proxy(number)
         else:
-            group.thaw(upstream)
+            group.resume(upstream)
             deployment.cut()
         await wait_until(deployment.is_fully_connected)
         await deployment.wait_for_writes(
--- a/ebonyrack/standins/control.py
+++ b/ebonyrack/standins/control.py
@@ -37,9 +37,9 @@
 
 
 @FAULTS.register("thaw")
-async def thaw(group: StandinGroup, body: dict[str, Any]) -> None:
+async def resume(group: StandinGroup, body: dict[str, Any]) -> None:
     """Let a frozen upstream go on."""
-    group.thaw(body["name"])
+    group.resume(body["name"])
 
 
 @FAULTS.register("cut")
--- a/ebonyrack/standins/control_plane.py
+++ b/ebonyrack/standins/control_plane.py
@@ -211,7 +211,7 @@
         self.planes.remove(plane)
         await plane.stop()
 
-    async def wait_linked(self) -> None:
+    async def wait_until_connected(self) -> None:
         """Wait until all proxies know each other."""
         count = len(self.planes)
         await wait_until(
@@ -221,7 +221,7 @@
             )
         )
 
-    async def wait_revision(self, revision: int) -> None:
+    async def wait_for_revision(self, revision: int) -> None:
         """Wait until all proxies run a revision."""
         await wait_until(
             lambda: all(plane.state.revision >= revision for plane in self.planes)
--- a/ebonyrack/standins/execution.py
+++ b/ebonyrack/standins/execution.py
@@ -151,7 +151,7 @@
         return
     upstream = session.upstream
     session.last_commit = upstream.commit(transaction, upstream.term)
-    if upstream.faults.take_lost_commit():
+    if upstream.faults.consume_lost_commit_answer():
         raise AnswerLostError
 
 
--- a/ebonyrack/standins/faults.py
+++ b/ebonyrack/standins/faults.py
@@ -18,7 +18,7 @@
         cut_from: Peers whose bytes don't arrive here.
         cut_to: Peers to whom this upstream's bytes don't arrive.
         answer_delay_s: Extra delay before each answer, in seconds.
-        lost_commits: How many commits yet take effect with their answer lost.
+        lost_commit_answers: How many commits yet take effect with their answer lost.
     """
 
     __slots__ = (
@@ -26,7 +26,7 @@
         "cut_from",
         "cut_to",
         "answer_delay_s",
-        "lost_commits",
+        "lost_commit_answers",
         "changed",
     )
 
@@ -35,7 +35,7 @@
         self.cut_from: set[str] = set()
         self.cut_to: set[str] = set()
         self.answer_delay_s = 0.0
-        self.lost_commits = 0
+        self.lost_commit_answers = 0
         self.changed = asyncio.Event()
 
     def apply(
@@ -73,9 +73,9 @@
         while not self.can_send(peer):
             await self.changed.wait()
 
-    def take_lost_commit(self) -> bool:
+    def consume_lost_commit_answer(self) -> bool:
         """Use up one lost answer of a commit, if any is due."""
-        if not self.lost_commits:
+        if not self.lost_commit_answers:
             return False
-        self.lost_commits -= 1
+        self.lost_commit_answers -= 1
         return True
--- a/ebonyrack/standins/group.py
+++ b/ebonyrack/standins/group.py
@@ -116,7 +116,7 @@
         """Let an upstream keep its sockets but neither read nor answer."""
         self.upstreams[name].faults.apply(frozen=True)
 
-    def thaw(self, name: str) -> None:
+    def resume(self, name: str) -> None:
         """Let a frozen upstream go on where it stopped."""
         self.upstreams[name].faults.apply(frozen=False)
 
@@ -141,13 +141,13 @@
         for upstream in self.upstreams.values():
             upstream.faults.apply(cut_from=set(), cut_to=set())
 
-    def delay(self, name: str, answer_delay_s: float) -> None:
+    def delay_answers(self, name: str, answer_delay_s: float) -> None:
         """Delay every answer of an upstream, in seconds."""
         self.upstreams[name].faults.answer_delay_s = answer_delay_s
 
     def lose_commit_answers(self, name: str, count: int = 1) -> None:
         """Let the next commits take effect but break off before the answer."""
-        self.upstreams[name].faults.lost_commits = count
+        self.upstreams[name].faults.lost_commit_answers = count
 
     def set_lag(self, apply_delay_s: float, receive_delay_s: float = 0.0) -> None:
         """Set how far replicas are behind, in seconds."""
--- a/ebonyrack/standins/group_test.py
+++ b/ebonyrack/standins/group_test.py
@@ -167,7 +167,7 @@
     async with await connect(group["up-2"]) as other:
         assert await fetch(other, "SELECT 1") == [(1,)]
     assert not query.done()
-    group.thaw("up-1")
+    group.resume("up-1")
     assert await query == [(1,)]
 
 
@@ -197,13 +197,13 @@
 
 async def test_replica_cut_off_from_its_primary_reports_silence(group):
     assert group["up-1"].read_status().silence_s is None
-    before_s = group["up-2"].heard_s
-    while group["up-2"].heard_s == before_s:
+    before_s = group["up-2"].last_primary_contact_s
+    while group["up-2"].last_primary_contact_s == before_s:
         await asyncio.sleep(0.001)
     group.freeze("up-1")
     while group["up-2"].read_status().silence_s < 0.2:
         await asyncio.sleep(0.01)
-    group.thaw("up-1")
+    group.resume("up-1")
     while group["up-2"].read_status().silence_s >= 0.2:
         await asyncio.sleep(0.01)
 
--- a/ebonyrack/standins/kv_service.py
+++ b/ebonyrack/standins/kv_service.py
@@ -67,7 +67,7 @@
         faults: What it does wrong.
         tokens: Highest fencing token seen for each group.
         orders: Group, upstream and token of each order that was accepted.
-        promote_s: How long a promotion takes.
+        promotion_duration_s: How long a promotion takes.
         calls: Path of each call.
         stale_reads: Reads that were asked for as possibly stale.
     """
@@ -83,7 +83,7 @@
         self.faults = KvFaults()
         self.tokens: dict[str, int] = {}
         self.orders: list[tuple[str, str, int]] = []
-        self.promote_s = 0.05
+        self.promotion_duration_s = 0.05
         self.calls: list[str] = []
         self.stale_reads = 0
         self.changed = asyncio.Condition()
@@ -265,7 +265,7 @@
         if not self.accept_token(name, token):
             return web.json_response({}, status=409)
         self.orders.append((name, member_id, token))
-        self.start_order(name, member_id, token, self.promote_s)
+        self.start_order(name, member_id, token, self.promotion_duration_s)
         return web.json_response({})
 
     def accept_token(self, group: str, token: int) -> bool:
--- a/ebonyrack/standins/line_group.py
+++ b/ebonyrack/standins/line_group.py
@@ -51,43 +51,43 @@
 
     Attributes:
         member_id: Identity.
-        leads: Whether it is the primary.
+        is_primary: Whether it is the primary.
         term: Newest term that it knows.
-        held_term: Term below which it receives nothing; 0 without a pause.
+        paused_below_term: Term below which it receives nothing; 0 without a pause.
         log: Commits that it has received.
-        applied: Number of them that reads see.
+        applied_count: Number of them that reads see.
         apply_delay_s: Time from receiving a commit to showing it.
-        is_deaf: Whether it receives nothing.
+        is_replication_blocked: Whether it receives nothing.
         is_leaving: Whether it reports that it will end.
-        born_ms: Time of its start.
+        started_at_ms: Time of its start.
     """
 
     member_id: str
-    leads: bool = False
+    is_primary: bool = False
     term: int = 1
-    held_term: int = 0
+    paused_below_term: int = 0
     log: list[LogEntry] = field(default_factory=list)
-    applied: int = 0
+    applied_count: int = 0
     apply_delay_s: float = 0.0
-    is_deaf: bool = False
+    is_replication_blocked: bool = False
     is_leaving: bool = False
-    born_ms: int = 1
+    started_at_ms: int = 1
 
     @property
-    def received(self) -> LogPosition:
+    def received_position(self) -> LogPosition:
         """Position up to which it has received the log."""
         return self.log[-1].position if self.log else LogPosition(self.term, 0)
 
     @property
-    def shown(self) -> LogPosition:
+    def applied_position(self) -> LogPosition:
         """Position that its reads see."""
-        if self.applied == 0:
+        if self.applied_count == 0:
             return LogPosition(1, 0)
-        return self.log[self.applied - 1].position
+        return self.log[self.applied_count - 1].position
 
     def read(self, item: str) -> str:
         """Return the data of an item as reads see it."""
-        for entry in reversed(self.log[: self.applied]):
+        for entry in reversed(self.log[: self.applied_count]):
             for written, data in reversed(entry.writes):
                 if written == item:
                     return data
@@ -124,7 +124,7 @@
     ) -> None:
         self.name = name
         self.members = {each: LineMember(each) for each in member_ids}
-        self.members[member_ids[0]].leads = True
+        self.members[member_ids[0]].is_primary = True
         self.acknowledging_replicas = acknowledging_replicas
         self.records: list[StatementRecord] = []
         self.acknowledged: list[LogEntry] = []
@@ -133,9 +133,9 @@
         self.tasks: set[asyncio.Task[None]] = set()
 
     @property
-    def leader(self) -> LineMember | None:
+    def primary(self) -> LineMember | None:
         """The primary in the newest term, or None."""
-        leaders = [member for member in self.members.values() if member.leads]
+        leaders = [member for member in self.members.values() if member.is_primary]
         return max(leaders, key=lambda each: each.term) if leaders else None
 
     async def commit(
@@ -154,7 +154,7 @@
         number = member.log[-1].position.offset + 1 if member.log else 1
         entry = LogEntry(LogPosition(term, number), writes)
         member.log.append(entry)
-        member.applied = len(member.log)
+        member.applied_count = len(member.log)
         self.replicate(member)
         async with self.changed:
             await self.changed.wait_for(
@@ -167,7 +167,7 @@
 
     def leads_in(self, member: LineMember, term: int) -> bool:
         """Return whether an upstream still leads in a term."""
-        return member.leads and member.term == term
+        return member.is_primary and member.term == term
 
     def is_held(self, primary: LineMember, entry: LogEntry) -> bool:
         """Return whether enough replicas have received an entry."""
@@ -181,8 +181,8 @@
     def replicate(self, primary: LineMember) -> None:
         """Hand the primary's log to every replica that receives."""
         for member in self.members.values():
-            held = member.held_term > primary.term
-            if member is primary or member.is_deaf or held:
+            held = member.paused_below_term > primary.term
+            if member is primary or member.is_replication_blocked or held:
                 continue
             if member.term > primary.term:
                 continue
@@ -191,7 +191,7 @@
                 continue
             member.log = list(primary.log)
             if member.apply_delay_s == 0:
-                member.applied = len(member.log)
+                member.applied_count = len(member.log)
             else:
                 self.start(self.apply_later(member, len(member.log)))
         self.start(self.notify())
@@ -199,7 +199,7 @@
     async def apply_later(self, member: LineMember, count: int) -> None:
         """Show entries to reads after the replica's delay."""
         await asyncio.sleep(member.apply_delay_s)
-        member.applied = max(member.applied, min(count, len(member.log)))
+        member.applied_count = max(member.applied_count, min(count, len(member.log)))
 
     async def notify(self) -> None:
         """Wake commits that wait."""
@@ -215,25 +215,25 @@
     def promote(self, member_id: str) -> None:
         """Make an upstream the primary of the next term, with what it has received."""
         chosen = self.members[member_id]
-        if chosen.leads and chosen is self.leader:
+        if chosen.is_primary and chosen is self.primary:
             return
         term = max(member.term for member in self.members.values()) + 1
         for member in self.members.values():
-            member.leads = False
-            member.held_term = 0
-        chosen.leads = True
+            member.is_primary = False
+            member.paused_below_term = 0
+        chosen.is_primary = True
         chosen.term = term
-        chosen.applied = len(chosen.log)
+        chosen.applied_count = len(chosen.log)
         self.promotions.append((member_id, term))
         for member in self.members.values():
-            if member is not chosen and not member.is_deaf:
+            if member is not chosen and not member.is_replication_blocked:
                 member.term = term
                 member.log = list(chosen.log)
-                member.applied = min(member.applied, len(member.log))
+                member.applied_count = min(member.applied_count, len(member.log))
         self.replicate(chosen)
 
-    def find_lost(self) -> list[LogEntry]:
+    def find_lost_entries(self) -> list[LogEntry]:
         """Return acknowledged entries that the present primary lacks."""
-        leader = self.leader
+        leader = self.primary
         held = leader.log if leader is not None else []
         return [entry for entry in self.acknowledged if entry not in held]
--- a/ebonyrack/standins/line_system.py
+++ b/ebonyrack/standins/line_system.py
@@ -69,7 +69,7 @@
         service: The platform's service.
         upstreams: Upstreams by identity.
         proxies: The proxies.
-        beats: Writes the upstreams' entries.
+        publisher_tasks: Writes the upstreams' entries.
     """
 
     def __init__(self, proxy_count: int = 1) -> None:
@@ -82,23 +82,25 @@
         self.proxy_count = proxy_count
         self.proxies: list[PlatformProxy] = []
         self.stack = AsyncExitStack()
-        self.beats: dict[str, asyncio.Task[None]] = {}
+        self.publisher_tasks: dict[str, asyncio.Task[None]] = {}
 
     async def start(self) -> None:
         """Start all parts and wait until the proxies are ready."""
         await self.stack.enter_async_context(self.service)
         for upstream in self.upstreams.values():
             await self.stack.enter_async_context(upstream)
-            await self.beat(upstream)
+            await self.publish_entry(upstream)
         await self.service.put_json("op/config", build_document(1))
         for member_id, upstream in self.upstreams.items():
-            self.beats[member_id] = asyncio.create_task(self.beat_forever(upstream))
+            self.publisher_tasks[member_id] = asyncio.create_task(
+                self.publish_entries(upstream)
+            )
         for number in range(self.proxy_count):
             await self.add_proxy(f"proxy-{number}")
 
     async def stop(self) -> None:
         """Stop all parts."""
-        await end_tasks(self.beats.values())
+        await end_tasks(self.publisher_tasks.values())
         await self.stack.aclose()
 
     async def add_proxy(self, name: str) -> PlatformProxy:
@@ -122,7 +124,7 @@
         proxy.proxy.discovery_completed = True
         return proxy
 
-    async def beat(self, upstream: LineUpstream, **changes: object) -> None:
+    async def publish_entry(self, upstream: LineUpstream, **changes: object) -> None:
         """Write an upstream's entry."""
         member = upstream.member
         entry = {
@@ -133,18 +135,18 @@
             "slots": 3,
             "phase": "draining" if member.is_leaving else "ready",
             "coldRemainingMs": 0,
-            "dbRole": "primary" if member.leads else "replica",
-            "born": member.born_ms,
+            "dbRole": "primary" if member.is_primary else "replica",
+            "born": member.started_at_ms,
             **changes,
         }
         await self.service.put_json(f"servers/{member.member_id}", entry)
 
-    async def beat_forever(self, upstream: LineUpstream) -> None:
+    async def publish_entries(self, upstream: LineUpstream) -> None:
         """Renew an upstream's entry until cancelled."""
         while True:
             await asyncio.sleep(HEARTBEAT_S)
             if upstream.server is not None:
-                await self.beat(upstream)
+                await self.publish_entry(upstream)
 
 
 class LineCaller(Component):
@@ -153,14 +155,14 @@
     Attributes:
         address: The proxy.
         database: Database that it asks for.
-        greeting: Answer to its startup.
+        startup_reply: Answer to its startup.
         number: Number of its last request.
     """
 
     def __init__(self, address: Address, database: str) -> None:
         self.address = address
         self.database = database
-        self.greeting = ""
+        self.startup_reply = ""
         self.number = 0
         self.reader: asyncio.StreamReader | None = None
         self.writer: asyncio.StreamWriter | None = None
@@ -171,14 +173,14 @@
             self.address.host, self.address.port
         )
         self.writer.write(f"STARTUP {self.database} tester\r\n".encode())
-        self.greeting = (await self.reader.readline()).decode().strip()
+        self.startup_reply = (await self.reader.readline()).decode().strip()
 
     async def stop(self) -> None:
         """Go away."""
         if self.writer is not None:
             self.writer.close()
 
-    async def ask(self, text: str) -> list[str]:
+    async def execute(self, text: str) -> list[str]:
         """Send a statement; return the lines of the answer, the id left out."""
         assert self.writer is not None
         self.number += 1
--- a/ebonyrack/standins/line_upstream.py
+++ b/ebonyrack/standins/line_upstream.py
@@ -20,7 +20,7 @@
 SESSIONS = itertools.count(1)
 
 
-class Rejected(Exception):  # noqa: N818
+class StatementRejectedError(Exception):
     """A statement that ends with an error code."""
 
 
@@ -32,8 +32,8 @@
         is_silent: Whether it answers nothing, on old and new connections.
         lose_answers: How many answers yet to statements with an id are lost, the
             connection broken in their place.
-        mute_answers: How many answers yet to statements with an id don't come, while
-            the connection stays.
+        suppress_answers: How many answers yet to statements with an id don't come,
+            while the connection stays.
         rejections: Codes with which the next statements with an id are rejected.
         delay_s: How long each statement with an id takes.
         is_full: Whether it takes no further connection.
@@ -41,7 +41,7 @@
 
     is_silent: bool = False
     lose_answers: int = 0
-    mute_answers: int = 0
+    suppress_answers: int = 0
     rejections: list[str] = field(default_factory=list)
     delay_s: float = 0.0
     is_full: bool = False
@@ -154,8 +154,8 @@
             if request_id != "-" and self.faults.lose_answers > 0:
                 self.faults.lose_answers -= 1
                 return
-            if request_id != "-" and self.faults.mute_answers > 0:
-                self.faults.mute_answers -= 1
+            if request_id != "-" and self.faults.suppress_answers > 0:
+                self.faults.suppress_answers -= 1
                 continue
             writer.write(answer + self.render_ready(session))
             await writer.drain()
@@ -176,14 +176,18 @@
 
     def render_ready(self, session: LineSession) -> bytes:
         """Return the end of an answer."""
-        shown = self.member.received if self.member.leads else self.member.shown
+        shown = (
+            self.member.received_position
+            if self.member.is_primary
+            else self.member.applied_position
+        )
         return f"READY {session.state} {shown.term}.{shown.offset}\r\n".encode()
 
     async def answer(self, session: LineSession, request_id: str, text: str) -> bytes:
         """Run a statement and return its answer without the end."""
         try:
             row, signature = await self.run(session, request_id, text)
-        except Rejected as rejection:
+        except StatementRejectedError as rejection:
             if session.state == "T":
                 session.state = "E"
             return f"ERROR {rejection} {self.member.member_id}\r\n".encode()
@@ -198,13 +202,13 @@
         word, _, rest = text.partition(" ")
         if request_id != "-":
             await self.apply_faults()
-        if after is not None and self.member.shown < after:
-            raise Rejected("LAGGING")
+        if after is not None and self.member.applied_position < after:
+            raise StatementRejectedError("LAGGING")
         if session.state == "E" and word not in ("ROLLBACK", "COMMIT"):
-            raise Rejected("MALFORMED")
+            raise StatementRejectedError("MALFORMED")
         handler = getattr(self, f"run_{word.lower()}", None)
         if handler is None:
-            raise Rejected("MALFORMED")
+            raise StatementRejectedError("MALFORMED")
         row = await handler(session, rest)
         signature = "-" if request_id == "-" else f"sig{next(SIGNATURES)}"
         self.group.records.append(
@@ -225,13 +229,13 @@
         if self.faults.delay_s:
             await asyncio.sleep(self.faults.delay_s)
         if self.faults.rejections:
-            raise Rejected(self.faults.rejections.pop(0))
+            raise StatementRejectedError(self.faults.rejections.pop(0))
 
     def check_lead(self, session: LineSession) -> None:
         """Refuse what only the primary does."""
         lost = session.state == "T" and self.member.term != session.term
-        if not self.member.leads or lost:
-            raise Rejected("READONLY")
+        if not self.member.is_primary or lost:
+            raise StatementRejectedError("READONLY")
 
     async def run_begin(self, session: LineSession, rest: str) -> str:
         """Begin a transaction."""
@@ -255,14 +259,14 @@
         if session.state == "T":
             session.writes.append((item, data))
         elif await self.group.commit(self.member, ((item, data),)) is None:
-            raise Rejected("FAILED")
+            raise StatementRejectedError("FAILED")
         return ""
 
     async def run_commit(self, session: LineSession, rest: str) -> str:
         """Commit the transaction."""
         state, session.state = session.state, "I"
         if state != "T":
-            raise Rejected("MALFORMED")
+            raise StatementRejectedError("MALFORMED")
         if session.writes:
             session.state = "T"
             try:
@@ -271,7 +275,7 @@
                 session.state = "I"
             writes, session.writes = tuple(session.writes), []
             if await self.group.commit(self.member, writes) is None:
-                raise Rejected("FAILED")
+                raise StatementRejectedError("FAILED")
         return ""
 
     async def run_rollback(self, session: LineSession, rest: str) -> str:
@@ -295,7 +299,7 @@
         """Execute a prepared statement."""
         name, _, arguments = rest.partition(" ")
         if name not in session.prepared:
-            raise Rejected("NOSTMT")
+            raise StatementRejectedError("NOSTMT")
         if session.prepared[name][0] == "WRITE":
             return await self.run_write(session, arguments)
         return await self.run_read(session, arguments)
@@ -309,24 +313,24 @@
     async def run_status(self, session: LineSession, rest: str) -> str:
         """Say what part this upstream has in the group."""
         member = self.member
-        role = "primary" if member.leads else "replica"
-        received = member.received
+        role = "primary" if member.is_primary else "replica"
+        received = member.received_position
         return (
             f"{role} {member.term} {received.term}.{received.offset} "
-            f"{member.held_term} 0 0 {len(self.tasks)}"
+            f"{member.paused_below_term} 0 0 {len(self.tasks)}"
         )
 
     async def run_pause(self, session: LineSession, rest: str) -> str:
         """Receive nothing of terms below one."""
         if int(rest) <= self.member.term:
-            raise Rejected("MALFORMED")
-        self.member.held_term = int(rest)
+            raise StatementRejectedError("MALFORMED")
+        self.member.paused_below_term = int(rest)
         return await self.run_status(session, "")
 
     async def run_resume(self, session: LineSession, rest: str) -> str:
         """Receive again."""
-        self.member.held_term = 0
-        leader = self.group.leader
+        self.member.paused_below_term = 0
+        leader = self.group.primary
         if leader is not None:
             self.group.replicate(leader)
         return await self.run_status(session, "")
--- a/ebonyrack/standins/network.py
+++ b/ebonyrack/standins/network.py
@@ -14,7 +14,7 @@
 READ_BYTES = 65536
 
 # A proxy's tasks inherit this from the task that starts it.
-DIALLER: ContextVar[str] = ContextVar("DIALLER", default="")
+DIALLING_SITE: ContextVar[str] = ContextVar("DIALLING_SITE", default="")
 
 Dial = Callable[..., Any]
 
@@ -27,7 +27,7 @@
     opens within a place are carried, so upstreams and callers are not affected.
 
     Attributes:
-        places: Place of each listener by its port.
+        site_by_port: Site of each listener by its port.
         cut_pairs: Pairs of places between which nothing passes.
         changed: Set at each change of the cuts, then replaced.
         tasks: Tasks that carry bytes.
@@ -35,7 +35,7 @@
     """
 
     def __init__(self) -> None:
-        self.places: dict[int, str] = {}
+        self.site_by_port: dict[int, str] = {}
         self.cut_pairs: set[frozenset[str]] = set()
         self.changed = asyncio.Event()
         self.tasks: set[asyncio.Task[None]] = set()
@@ -60,7 +60,7 @@
 
     async def wait_open(self, place: str, port: int) -> None:
         """Return once bytes pass between a place and a listener."""
-        while frozenset((place, self.places.get(port, place))) in self.cut_pairs:
+        while frozenset((place, self.site_by_port.get(port, place))) in self.cut_pairs:
             await self.changed.wait()
 
     async def create_connection(
@@ -71,7 +71,7 @@
         **options: Any,
     ) -> tuple[asyncio.Transport, asyncio.BaseProtocol]:
         """Connect as the event loop does, by way of a link that can be cut."""
-        place = DIALLER.get()
+        place = DIALLING_SITE.get()
         if not place or port is None:
             return await self.dial(factory, host, port, **options)
         await self.wait_open(place, port)
--- a/ebonyrack/standins/replication.py
+++ b/ebonyrack/standins/replication.py
@@ -195,7 +195,7 @@
         while True:
             due_s, frame = await self.arrived.get()
             await sleep_until(due_s)
-            self.upstream.heard_s = now_s()
+            self.upstream.last_primary_contact_s = now_s()
             kind, content = frame
             if kind == "start":
                 self.cut_log(content)
--- a/ebonyrack/standins/system.py
+++ b/ebonyrack/standins/system.py
@@ -91,13 +91,13 @@
         self.platform = StandinPlatform()
         self.group = StandinGroup(data_centres=data_centres)
         self.proxies: dict[str, Proxy] = {}
-        self.serving: dict[str, asyncio.Task[int]] = {}
+        self.serve_tasks: dict[str, asyncio.Task[int]] = {}
         # A killed proxy's port may be given to another system of the machine.
         self.secret = secrets.token_hex(SECRET_BYTES)
         self.cut_off_after_s = cut_off_after_s
         self.operators = operators
         self.overrides = overrides
-        self.wanted = proxies
+        self.proxy_count = proxies
         self.revision = 0
         self.stack = AsyncExitStack()
 
@@ -106,7 +106,7 @@
         await self.stack.enter_async_context(self.platform)
         await self.stack.enter_async_context(self.group)
         self.put_document()
-        for number in range(self.wanted):
+        for number in range(self.proxy_count):
             await self.start_proxy(f"proxy-{number + 1}")
 
     async def stop(self) -> None:
@@ -153,7 +153,7 @@
         proxy = Proxy(settings)
         await proxy.start()
         self.proxies[name] = proxy
-        self.serving[name] = asyncio.create_task(proxy.serve())
+        self.serve_tasks[name] = asyncio.create_task(proxy.serve())
         async with asyncio.timeout(START_LIMIT_S):
             while proxy.listener.server is None:
                 await asyncio.sleep(0.01)
@@ -172,7 +172,7 @@
         """
         proxy = self.proxies.pop(name)
         proxy.drain.request("test")
-        cut_requests = await self.serving.pop(name)
+        cut_requests = await self.serve_tasks.pop(name)
         await proxy.stop()
         return cut_requests
 
@@ -183,7 +183,7 @@
             name: Its name.
         """
         proxy = self.proxies.pop(name)
-        task = self.serving.pop(name)
+        task = self.serve_tasks.pop(name)
         task.cancel()
         await asyncio.gather(task, return_exceptions=True)
         await proxy.stop()
--- a/ebonyrack/standins/upstream.py
+++ b/ebonyrack/standins/upstream.py
@@ -41,7 +41,7 @@
         term: Term in which it is primary, or term of the primary it follows.
         fenced_term: Highest term that it granted or followed.
         leaving: Whether it says that it leaves the group.
-        heard_s: Monotonic time at which it last heard from its primary.
+        last_primary_contact_s: Monotonic time at which it last heard from its primary.
         sessions: Open sessions by process number.
         slots: Statements that may run at the same time.
         follower: Task that receives the primary's log.
@@ -57,7 +57,7 @@
         "term",
         "fenced_term",
         "leaving",
-        "heard_s",
+        "last_primary_contact_s",
         "sessions",
         "slots",
         "follower",
@@ -77,7 +77,7 @@
         self.term = 0
         self.fenced_term = 0
         self.leaving = False
-        self.heard_s = now_s()
+        self.last_primary_contact_s = now_s()
         self.sessions: dict[int, StandinSession] = {}
         self.slots = asyncio.Semaphore(options.slots)
         self.follower: LogFollower | None = None
@@ -166,7 +166,9 @@
             received=self.log.last,
             applied=self.applied.reached,
             leaving=self.leaving,
-            silence_s=None if self.role is Role.PRIMARY else now_s() - self.heard_s,
+            silence_s=None
+            if self.role is Role.PRIMARY
+            else now_s() - self.last_primary_contact_s,
         )
 
     async def begin_write(
@@ -264,7 +266,7 @@
         self.role = Role.REPLICA
         self.term = term
         self.wake_senders()
-        self.heard_s = now_s()
+        self.last_primary_contact_s = now_s()
         self.follower = LogFollower(self, term, primary)
         self.follower.start()
 
