--- a/ebonyrack/callers/__init__.py
+++ b/ebonyrack/callers/__init__.py
@@ -1,1 +1,1 @@
-"""The callers' side: listener, startup, sessions and the relay of answers."""
+"""Sessions of callers: listener, startup, request handling and answer relay."""
--- a/ebonyrack/callers/answers.py
+++ b/ebonyrack/callers/answers.py
@@ -1,4 +1,4 @@
-"""Frames that the proxy itself builds for callers."""
+"""Builders of PostgreSQL protocol frames."""
 
 from __future__ import annotations
 
@@ -33,10 +33,10 @@
 
 
 def build_ready_for_query(status: str) -> bytes:
-    """Build a ReadyForQuery.
+    """Build a ReadyForQuery frame.
 
     Args:
-        status: `I`, `T` or `E`.
+        status: Transaction status: `I`, `T` or `E`.
 
     Returns:
         The frame.
@@ -45,7 +45,7 @@
 
 
 def build_error_response(error: RequestError) -> bytes:
-    """Build the ErrorResponse for an error of the closed list.
+    """Build the ErrorResponse frame for an error.
 
     Args:
         error: The error that ends the request.
@@ -57,7 +57,7 @@
 
 
 def build_command_complete(tag: str) -> bytes:
-    """Build a CommandComplete.
+    """Build a CommandComplete frame.
 
     Args:
         tag: Command tag, such as `BEGIN`.
@@ -69,7 +69,7 @@
 
 
 def build_query(sql: str) -> bytes:
-    """Build a simple query for an upstream.
+    """Build a simple Query frame.
 
     Args:
         sql: The statement.
@@ -81,11 +81,11 @@
 
 
 def build_parameter_status(name: str, value: str) -> bytes:
-    """Build a ParameterStatus.
+    """Build a ParameterStatus frame.
 
     Args:
         name: Name of the parameter.
-        value: Its value.
+        value: Value of the parameter.
 
     Returns:
         The frame.
@@ -94,7 +94,7 @@
 
 
 def build_text_columns(names: tuple[str, ...]) -> bytes:
-    """Build a RowDescription of text columns.
+    """Build a RowDescription frame for text columns.
 
     Args:
         names: Column names.
@@ -112,7 +112,7 @@
 
 
 def build_text_row(values: tuple[str, ...]) -> bytes:
-    """Build a DataRow of text values.
+    """Build a DataRow frame of text values.
 
     Args:
         values: Values in column order.
@@ -124,13 +124,13 @@
 
 
 def extract_sqlstate(raw: bytes) -> str:
-    """Find the SQLSTATE in an ErrorResponse frame.
+    """Extract the SQLSTATE from an ErrorResponse frame.
 
     Args:
         raw: The frame.
 
     Returns:
-        Five characters, or an empty string if the field is missing.
+        The five-character SQLSTATE, or an empty string if the field is missing.
     """
     fields = b"\x00" + raw[HEADER_BYTES:]
     _, _, sqlstate = fields.partition(SQLSTATE_FIELD)
--- a/ebonyrack/callers/authentication.py
+++ b/ebonyrack/callers/authentication.py
@@ -1,4 +1,4 @@
-"""SCRAM-SHA-256 towards callers, from the verifiers in the operators' document."""
+"""SCRAM-SHA-256 authentication of callers by verifiers in the operators' document."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 if TYPE_CHECKING:
     from ebonyrack.callers.stream import CallerStream
 
-MAXIMUM_PASSWORD_BYTES = 4096
+MAXIMUM_PASSWORD_MESSAGE_BYTES = 4096
 EMPTY_USER = ",n=,"
 PLACEHOLDER_USER = ",n=caller,"
 DUMMY_ITERATIONS = 4096
@@ -33,7 +33,7 @@
 
 
 def make_dummy_verifier() -> Verifier:
-    """Make a verifier that no password fits, for users that are not known."""
+    """Make a verifier that no password matches, for unknown users."""
     return Verifier(
         secrets.token_bytes(SALT_BYTES),
         secrets.token_bytes(KEY_BYTES),
@@ -47,10 +47,10 @@
 
     Args:
         stream: The caller's connection.
-        verifier: What the password is checked against.
+        verifier: Verifier of the expected password.
 
     Raises:
-        RequestError: AUTHENTICATION_FAILED, also if the caller goes away.
+        RequestError: AUTHENTICATION_FAILED, also if the caller disconnects.
     """
     server = ScramMechanism(MECHANISM).make_server(
         lambda _: (
@@ -62,29 +62,33 @@
     )
     stream.write(AuthenticationSASL(mechanisms=[MECHANISM]).to_wire())
     try:
-        first = SASLInitialResponse.decode(await read_response(stream))
-        if first.mechanism != MECHANISM:
-            raise RequestError(ErrorKind.AUTHENTICATION_FAILED, "unknown mechanism")
-        set_client_first(server, first.data.decode())
-        answer = server.get_server_first().encode()
-        stream.write(AuthenticationSASLContinue(data=answer).to_wire())
-        final = SASLResponse.decode(await read_response(stream))
-        server.set_client_final(bytes(final.data).decode())
-        proof = server.get_server_final().encode()
+        client_first = SASLInitialResponse.decode(await read_response(stream))
+        if client_first.mechanism != MECHANISM:
+            raise RequestError(
+                ErrorKind.AUTHENTICATION_FAILED, "unknown SASL mechanism"
+            )
+        set_client_first(server, client_first.data.decode())
+        server_first = server.get_server_first().encode()
+        stream.write(AuthenticationSASLContinue(data=server_first).to_wire())
+        client_final = SASLResponse.decode(await read_response(stream))
+        server.set_client_final(bytes(client_final.data).decode())
+        server_final = server.get_server_final().encode()
     except (ScramException, PygwireError, ValueError, IndexError) as error:
-        raise RequestError(ErrorKind.AUTHENTICATION_FAILED, "wrong proof") from error
-    stream.write(AuthenticationSASLFinal(data=proof).to_wire())
+        raise RequestError(
+            ErrorKind.AUTHENTICATION_FAILED, "SCRAM exchange failed"
+        ) from error
+    stream.write(AuthenticationSASLFinal(data=server_final).to_wire())
 
 
 def set_client_first(server: ScramServer, message: str) -> None:
-    """Hand over the client's first message, which may name no user.
+    """Pass the client-first message to scramp, with a placeholder for an empty user.
 
-    PostgreSQL's drivers leave the name empty, since the startup message has it;
-    scramp takes no empty name. The proof covers the message as it was sent.
+    PostgreSQL drivers leave the user name empty, because the startup message has it,
+    but scramp rejects an empty name. The proof covers the message as it was sent.
 
     Args:
         server: Server side of the exchange.
-        message: The message.
+        message: The client-first message.
 
     Raises:
         ScramException: If the message is not valid.
@@ -103,9 +107,9 @@
         The payload.
 
     Raises:
-        RequestError: AUTHENTICATION_FAILED if anything else comes.
+        RequestError: AUTHENTICATION_FAILED for any other message or a lost connection.
     """
-    frame = await stream.read_frame(MAXIMUM_PASSWORD_BYTES)
+    frame = await stream.read_frame(MAXIMUM_PASSWORD_MESSAGE_BYTES)
     if frame is None or frame.kind != b"p":
-        raise RequestError(ErrorKind.AUTHENTICATION_FAILED, "no password message")
+        raise RequestError(ErrorKind.AUTHENTICATION_FAILED, "no SASL response received")
     return memoryview(frame.raw)[HEADER_BYTES:]
--- a/ebonyrack/callers/bytes_test.py
+++ b/ebonyrack/callers/bytes_test.py
@@ -1,4 +1,4 @@
-"""Bad bytes, oversized frames and half messages never leave a task behind."""
+"""Robustness against invalid bytes, oversized frames and incomplete messages."""
 
 import asyncio
 import struct
@@ -70,8 +70,8 @@
 ).map(b"".join)
 
 
-async def converse(proxy, data):
-    """Send bytes and the end of the stream; read all that is answered."""
+async def send_and_read_to_end(proxy, data):
+    """Send bytes and EOF, then read the answer to its end."""
     caller = await proxy.open_wire()
     caller.send(data)
     caller.writer.write_eof()
@@ -84,7 +84,7 @@
 
 
 @pytest.mark.parametrize("prefix", [b"", START])
-def test_any_bytes_end_the_connection_and_leave_nothing(prefix):
+def test_arbitrary_bytes_leak_no_task_session_or_connection(prefix):
     with asyncio.Runner() as runner:
         stack = AsyncExitStack()
         opening = open_proxy(proxy={"maximum_message_bytes": 4096})
@@ -99,17 +99,17 @@
         )
         @given(STREAMS)
         def send(data):
-            runner.run(converse(proxy, prefix + data))
+            runner.run(send_and_read_to_end(proxy, prefix + data))
 
         try:
             send()
-            runner.run(check_unharmed(proxy))
+            runner.run(check_no_leaks(proxy))
         finally:
             runner.run(stack.aclose())
 
 
-async def check_unharmed(proxy):
-    """Nothing is left behind and a good caller is served."""
+async def check_no_leaks(proxy):
+    """Check that no task, session or connection is left and callers are served."""
     await wait_until(lambda: not proxy.listener.tasks)
     assert not proxy.sessions
     for upstream in proxy.group.upstreams.values():
@@ -119,14 +119,14 @@
 
 
 @pytest.mark.parametrize("length", [0, 3, 4097, 2**31, 2**32 - 1])
-async def test_a_frame_of_a_wrong_length_is_answered_clearly(length):
+async def test_frame_of_invalid_length_is_rejected(length):
     async with open_proxy(proxy={"maximum_message_bytes": 4096}) as proxy:
         caller = await proxy.start_wire()
         caller.send(b"Q" + struct.pack("!I", length))
         assert b"C08P01" in await caller.read_to_end()
 
 
-async def test_a_frame_longer_than_the_read_buffer_is_served(proxy):
+async def test_frame_longer_than_read_buffer_is_served(proxy):
     caller = await proxy.start_wire()
     value = b"x" * 200_000
     body = struct.pack("!hhI", 0, 1, len(value)) + value + struct.pack("!h", 0)
--- a/ebonyrack/callers/cancel.py
+++ b/ebonyrack/callers/cancel.py
@@ -1,4 +1,4 @@
-"""Cancel requests: they reach the request of one session and no other."""
+"""Cancel requests of callers, which affect only the session that they name."""
 
 from __future__ import annotations
 
@@ -21,17 +21,17 @@
 async def cancel_request(
     sessions: dict[int, CallerSession], number: int, secret_key: bytes
 ) -> bool:
-    """Cancel what the named session runs now, if the secret is right.
+    """Cancel the current request of a session if the secret key matches.
 
-    As PostgreSQL does, the proxy answers nothing to the caller.
+    As in PostgreSQL, the caller gets no answer to a cancel request.
 
     Args:
         sessions: Sessions by number.
         number: Number of the session.
-        secret_key: Secret that the cancel request names.
+        secret_key: Secret key in the cancel request.
 
     Returns:
-        Whether this proxy has that session.
+        Whether this proxy has a session with that number and secret key.
     """
     session = sessions.get(number)
     if session is None or not hmac.compare_digest(session.secret_key, secret_key):
@@ -41,7 +41,7 @@
 
 
 async def cancel_session(session: CallerSession) -> None:
-    """Cancel what a session runs now.
+    """Cancel the current request of a session.
 
     Args:
         session: The session.
@@ -54,20 +54,22 @@
     if connection is None or session.phase is not SessionPhase.UPSTREAM:
         return
     if not session.is_committing and session.cancel_done is None:
-        await forward(session, connection)
+        await forward_cancel(session, connection)
 
 
-async def forward(session: CallerSession, connection: UpstreamConnection) -> None:
-    """Pass a cancel request on to the upstream that serves the session.
+async def forward_cancel(
+    session: CallerSession, connection: UpstreamConnection
+) -> None:
+    """Forward a cancel request to the upstream that serves the session.
 
-    The session holds the connection until its request is over, and a connection
-    that a cancel request was sent for is closed instead of reused, so a request
-    that strikes late finds no other caller's statement. Within a transaction the
-    session sends nothing more before the upstream has taken the request.
+    The session holds the connection until its request ends, and a connection for
+    which a cancel request was sent is closed instead of reused, so that a late cancel
+    request can't affect another caller's statement. Within a transaction the session
+    sends nothing more before the upstream has received the cancel request.
 
     Args:
         session: The session.
-        connection: Its connection.
+        connection: Upstream connection of the session.
     """
     done = session.cancel_done = asyncio.Event()
     try:
@@ -79,10 +81,10 @@
 
 
 async def cancel_abandoned(connection: UpstreamConnection) -> None:
-    """Cancel what an upstream still runs for nobody, to free its slot.
+    """Cancel the statement of an abandoned connection, to free its slot.
 
     Args:
-        connection: The connection, closed already.
+        connection: The connection, which is already closed.
     """
     try:
         await connection.cancel(CANCEL_TIMEOUT_S)
--- a/ebonyrack/callers/conftest.py
+++ b/ebonyrack/callers/conftest.py
@@ -1,4 +1,4 @@
-"""A proxy's callers' side before a stand-in group, and a caller of raw frames."""
+"""Fixtures: a caller listener for a stand-in group, and a caller of raw frames."""
 
 from __future__ import annotations
 
@@ -39,13 +39,13 @@
 GROUP = "scheduling"
 USER = "booking"
 PASSWORD = "correct horse"
-CHECK_S = 0.002
+CHECK_INTERVAL_S = 0.002
 MAXIMUM_CHECKS = 5000
-ANSWER_S = 20.0
+ANSWER_TIMEOUT_S = 20.0
 
 
 def make_verifier(password: str = PASSWORD) -> str:
-    """Return a SCRAM verifier of a password."""
+    """Return the SCRAM verifier of a password."""
     salt, stored_key, server_key, iterations = ScramMechanism().make_auth_info(password)
     parts = [base64.b64encode(part).decode() for part in (salt, stored_key, server_key)]
     return f"SCRAM-SHA-256${iterations}:{parts[0]}${parts[1]}:{parts[2]}"
@@ -55,12 +55,12 @@
 
 
 async def wait_until(condition: Callable[[], object]) -> None:
-    """Wait, with a bound, until a condition holds."""
+    """Wait until a condition holds, up to MAXIMUM_CHECKS checks."""
     for _ in range(MAXIMUM_CHECKS):
         if condition():
             return
-        await asyncio.sleep(CHECK_S)
-    raise AssertionError("the condition never held")
+        await asyncio.sleep(CHECK_INTERVAL_S)
+    raise AssertionError("timed out waiting for the condition")
 
 
 class WireCaller:
@@ -77,8 +77,8 @@
         self.writer.write(b"".join(frames))
 
     async def read_frame(self) -> Frame:
-        """Read one frame: its kind and payload."""
-        async with asyncio.timeout(ANSWER_S):
+        """Read one frame and return its kind and payload."""
+        async with asyncio.timeout(ANSWER_TIMEOUT_S):
             header = await self.reader.readexactly(5)
             length = struct.unpack("!I", header[1:])[0]
             return header[:1], await self.reader.readexactly(length - 4)
@@ -92,11 +92,11 @@
 
     async def read_to_end(self) -> bytes:
         """Read everything until the connection ends."""
-        async with asyncio.timeout(ANSWER_S):
+        async with asyncio.timeout(ANSWER_TIMEOUT_S):
             return await self.reader.read()
 
     async def send_and_read(self, *frames: bytes) -> list[Frame]:
-        """Send frames and read up to ReadyForQuery."""
+        """Send frames and read the answer up to ReadyForQuery."""
         self.send(*frames)
         return await self.read_until_ready()
 
@@ -105,49 +105,49 @@
         return await self.send_and_read(Query(query_string=sql).to_wire())
 
     async def start(self, **params: str) -> list[Frame]:
-        """Do the startup."""
+        """Send the startup message and read the answer."""
         params = {"user": USER, "database": GROUP, **params}
         return await self.send_and_read(StartupMessage(params=params).to_wire())
 
     def abort(self) -> None:
-        """Break the connection off."""
+        """Abort the connection."""
         self.writer.transport.abort()
 
 
 def join_kinds(frames: list[Frame]) -> str:
-    """Return the kinds of frames as a word."""
+    """Return the kind bytes of frames as one string."""
     return b"".join(kind for kind, _ in frames).decode()
 
 
 def find_error(frames: list[Frame]) -> tuple[str, str]:
-    """Return SQLSTATE and DETAIL of the one error among frames."""
+    """Return SQLSTATE and DETAIL of the only ErrorResponse among frames."""
     (payload,) = (payload for kind, payload in frames if kind == b"E")
     fields = {part[:1]: part[1:].decode() for part in payload.split(b"\x00") if part}
     return fields[b"C"], fields.get(b"D", "")
 
 
 def parse(name: bytes, sql: bytes) -> bytes:
-    """Build a Parse."""
+    """Build a Parse frame."""
     return build_frame(b"P", name + b"\x00" + sql + b"\x00\x00\x00")
 
 
 def bind(name: bytes, portal: bytes = b"") -> bytes:
-    """Build a Bind without parameters."""
+    """Build a Bind frame without parameters."""
     return build_frame(b"B", portal + b"\x00" + name + b"\x00" + bytes(6))
 
 
 def describe(target: bytes, name: bytes) -> bytes:
-    """Build a Describe."""
+    """Build a Describe frame."""
     return build_frame(b"D", target + name + b"\x00")
 
 
 def execute(portal: bytes = b"", rows: int = 0) -> bytes:
-    """Build an Execute."""
+    """Build an Execute frame."""
     return build_frame(b"E", portal + b"\x00" + struct.pack("!I", rows))
 
 
 def close(target: bytes, name: bytes) -> bytes:
-    """Build a Close."""
+    """Build a Close frame."""
     return build_frame(b"C", target + name + b"\x00")
 
 
@@ -156,7 +156,7 @@
 
 
 class Proxy:
-    """A listener for callers before a stand-in group."""
+    """A caller listener that serves a stand-in group."""
 
     def __init__(
         self, standins: StandinGroup, group: DatabaseGroup, listener: CallerListener
@@ -164,15 +164,15 @@
         self.standins = standins
         self.group = group
         self.listener = listener
-        self.streams: list[asyncio.StreamWriter] = []
+        self.writers: list[asyncio.StreamWriter] = []
 
     @property
     def sessions(self) -> tuple[CallerSession, ...]:
-        """Sessions that are open."""
+        """The open sessions."""
         return tuple(self.listener.sessions.values())
 
     async def connect(self, **options: Any) -> psycopg.AsyncConnection[Any]:
-        """Connect by psycopg."""
+        """Connect with psycopg."""
         address = self.listener.address
         options = {"user": USER, "dbname": GROUP, "autocommit": True, **options}
         return await psycopg.AsyncConnection.connect(
@@ -183,17 +183,17 @@
         """Open a TCP connection."""
         address = self.listener.address
         caller = WireCaller(*await asyncio.open_connection(address.host, address.port))
-        self.streams.append(caller.writer)
+        self.writers.append(caller.writer)
         return caller
 
     async def start_wire(self, **params: str) -> WireCaller:
-        """Open a session of raw frames."""
+        """Open a connection for raw frames and complete the startup."""
         caller = await self.open_wire()
         await caller.start(**params)
         return caller
 
     def count_rows(self, name: str, request: str) -> int:
-        """Count a booking in what one upstream shows, also after its death."""
+        """Count the inserts of a booking in an upstream's log, also after a crash."""
         log = self.standins[name].log.entries
         return sum(
             statement.sql.startswith("INSERT INTO bookings")
@@ -213,7 +213,7 @@
     application: dict[str, Any],
     proxy: dict[str, Any],
 ) -> Services:
-    """Build what sessions need from their proxy."""
+    """Build the services that sessions use."""
     settings: dict[str, Any] = {
         "name": "proxy-1",
         "data_centre": "dc-1",
@@ -258,7 +258,7 @@
     limit: int = 10,
     **section: Any,
 ) -> AsyncIterator[Proxy]:
-    """Run a proxy; keywords change its settings and the group's section."""
+    """Run a proxy; further keyword arguments change the group's section."""
     async with StandinGroup(options=options) as standins:
         record = standins.section(**section)
         async with serve_group(
@@ -275,7 +275,7 @@
     proxy: dict[str, Any],
     limit: int = 10,
 ) -> AsyncIterator[Proxy]:
-    """Run a proxy before a group that runs already."""
+    """Run a proxy for a stand-in group that is already running."""
     async with DatabaseGroup(GROUP, record, limit) as group:
         services = make_services(group, record, application, proxy)
         async with services.read_indexes[GROUP]:
@@ -285,8 +285,8 @@
                 try:
                     yield running
                 finally:
-                    for stream in running.streams:
-                        stream.transport.abort()
+                    for writer in running.writers:
+                        writer.transport.abort()
 
 
 @pytest.fixture
--- a/ebonyrack/callers/internal_request.py
+++ b/ebonyrack/callers/internal_request.py
@@ -1,4 +1,4 @@
-"""Transaction control that the proxy itself sends, without the caller's knowledge."""
+"""Transaction control that the proxy sends on its own, invisible to the caller."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True, slots=True)
 class InternalRequest:
-    """A statement of the proxy, of whose answer the caller sees nothing.
+    """A statement of the proxy whose answer is not relayed to the caller.
 
     Attributes:
         sql: The statement.
@@ -32,11 +32,11 @@
 
     @property
     def answer_format(self) -> bytes:
-        """Empty: it is never repeated under a key."""
+        """Empty, because it is never repeated under an idempotency key."""
         return b""
 
     def build_replay(self, tags: Sequence[str], frames: Sequence[bytes] = ()) -> bytes:
-        """Build no answer at all."""
+        """Build an empty answer."""
         return b""
 
 
--- a/ebonyrack/callers/listener.py
+++ b/ebonyrack/callers/listener.py
@@ -1,4 +1,4 @@
-"""The listener for callers and the sessions that it has started."""
+"""Listener for callers, which runs their sessions."""
 
 from __future__ import annotations
 
@@ -35,27 +35,28 @@
     from ebonyrack.service.services import Services
     from ebonyrack.upstreams.connection import UpstreamConnection
 
-SECRET_BYTES = 4
+SECRET_KEY_BYTES = 4
 MAXIMUM_SESSION_NUMBER = 2**31 - 1
 BACKLOG = 1024
-# Connections that are starting may exceed the sessions by this many.
-MAXIMUM_STARTING = 256
-# A caller may take this long to read why its session has ended.
-LINGER_S = 1.0
-MAXIMUM_CANCELS = 64
+# Connections in startup that are accepted beyond the maximum number of sessions.
+MAXIMUM_STARTING_CONNECTIONS = 256
+# Time for a caller to read the final error and close the connection.
+CLOSE_TIMEOUT_S = 1.0
+MAXIMUM_CONCURRENT_CANCELS = 64
 
 
 class CallerListener(Component):
     """Accepts callers; an asynchronous context manager that owns their tasks.
 
     Attributes:
-        services: Parts of the proxy.
+        services: Services of the proxy.
         sessions: Sessions by number.
-        tasks: Task of each connection.
-        server: The listening socket, while there is one.
-        address: Address that it listens at.
-        watchdog: Task that ends waits over their limits.
-        cancels: Tasks that stop statements nobody waits for.
+        tasks: Tasks by connection.
+        server: The listening server, or None.
+        address: Address on which it listens.
+        watchdog: Task that ends waits beyond their time limits.
+        cancels: Tasks that cancel abandoned statements.
+        last_number: Number of the session opened last.
     """
 
     def __init__(self, services: Services) -> None:
@@ -69,7 +70,7 @@
         self.last_number = 0
 
     async def start(self) -> None:
-        """Listen for callers."""
+        """Start listening for callers."""
         loop = asyncio.get_running_loop()
         self.server = await loop.create_server(
             lambda: CallerStream(self.accept),
@@ -83,7 +84,7 @@
         logger.bind(address=str(self.address)).info("listening_for_callers")
 
     async def stop(self) -> None:
-        """Stop listening and break off what is left."""
+        """Stop listening and abort the remaining connections."""
         self.stop_listening()
         tasks = [*self.tasks.values(), *self.cancels]
         if self.watchdog is not None:
@@ -93,28 +94,30 @@
             stream.abort()
 
     def stop_listening(self) -> None:
-        """Accept no more connections."""
+        """Stop accepting connections."""
         if self.server is not None:
             self.server.close()
             self.server = None
 
     def accept(self, stream: CallerStream) -> None:
-        """Start the task of a new connection.
+        """Start the task that serves a new connection.
 
         Args:
             stream: The connection.
         """
-        limit = self.services.settings.proxy.maximum_callers + MAXIMUM_STARTING
+        limit = (
+            self.services.settings.proxy.maximum_callers + MAXIMUM_STARTING_CONNECTIONS
+        )
         if len(self.tasks) >= limit:
             stream.write(build_error_response(RequestError(ErrorKind.TOO_MANY_CALLERS)))
             stream.close()
             return
         task = asyncio.get_running_loop().create_task(self.serve(stream))
         self.tasks[stream] = task
-        task.add_done_callback(lambda _: self.forget(stream))
+        task.add_done_callback(lambda _: self.remove_connection(stream))
 
-    def forget(self, stream: CallerStream) -> None:
-        """Drop a connection whose task has ended.
+    def remove_connection(self, stream: CallerStream) -> None:
+        """Remove a connection whose task has ended.
 
         Args:
             stream: The connection.
@@ -126,7 +129,7 @@
             logger.opt(exception=task.exception()).error("session_failed")
 
     async def serve(self, stream: CallerStream) -> None:
-        """Serve one connection from its first byte to its end.
+        """Serve one connection from startup to close.
 
         Args:
             stream: The connection.
@@ -138,45 +141,45 @@
                 await session.run()
         except RequestError as error:
             stream.write(build_error_response(error))
-            stream.finish()
+            stream.send_eof()
         except Exception:
             logger.exception("session_failed")
             stream.write(build_error_response(RequestError(ErrorKind.INTERNAL)))
-            stream.finish()
+            stream.send_eof()
         finally:
             if session is not None:
                 self.sessions.pop(session.number, None)
             stream.on_lost = None
-            if stream.is_finished:
-                await self.linger(stream)
+            if stream.is_eof_sent:
+                await self.wait_for_close(stream)
             stream.close()
 
-    async def linger(self, stream: CallerStream) -> None:
-        """Let a caller read why its session has ended.
+    async def wait_for_close(self, stream: CallerStream) -> None:
+        """Give a caller time to read the final error before the connection is closed.
 
         Args:
             stream: The connection.
         """
         try:
-            async with asyncio.timeout(LINGER_S):
-                await stream.linger()
+            async with asyncio.timeout(CLOSE_TIMEOUT_S):
+                await stream.wait_for_close()
         except TimeoutError:
-            logger.debug("caller_lingers")
+            logger.debug("caller_did_not_close")
 
     def cancel_statement(self, connection: UpstreamConnection) -> None:
-        """Cancel what an upstream still runs for a session that gave it up.
+        """Cancel the statement of an upstream connection that a session abandoned.
 
         Args:
-            connection: The connection, which nobody uses any more.
+            connection: The abandoned connection.
         """
-        if len(self.cancels) >= MAXIMUM_CANCELS:
+        if len(self.cancels) >= MAXIMUM_CONCURRENT_CANCELS:
             return
         task = asyncio.get_running_loop().create_task(cancel_abandoned(connection))
         self.cancels.add(task)
         task.add_done_callback(self.cancels.discard)
 
     async def cancel(self, request: CancelRequest) -> None:
-        """Serve a cancel request, which the balancer may bring to any proxy.
+        """Serve a cancel request, which the load balancer may send to any proxy.
 
         Args:
             request: The request.
@@ -186,7 +189,7 @@
             self.services.forward_cancel(number, secret_key)
 
     async def start_session(self, stream: CallerStream) -> CallerSession | None:
-        """Read the startup within its time limit and open the session.
+        """Run the startup within its time limit and open the session.
 
         Args:
             stream: The connection.
@@ -195,7 +198,7 @@
             The session, or None if the connection was for a cancel request.
 
         Raises:
-            RequestError: If the connection is refused.
+            RequestError: If the connection is rejected.
         """
         settings = self.services.settings.proxy
         try:
@@ -210,39 +213,39 @@
                     stream, request, self.services.configuration.document, settings
                 )
         except TimeoutError:
-            raise RequestError(ErrorKind.BAD_REQUEST, "startup took too long") from None
+            raise RequestError(ErrorKind.BAD_REQUEST, "startup timed out") from None
         return self.open_session(stream, identity)
 
     def open_session(
         self, stream: CallerStream, identity: CallerIdentity
     ) -> CallerSession:
-        """Open the session of a caller that has proved who it is.
+        """Open the session of an authenticated caller.
 
         Args:
             stream: The connection.
-            identity: Who the caller is.
+            identity: Identity of the caller.
 
         Returns:
             The session.
 
         Raises:
-            RequestError: TOO_MANY_CALLERS, SHUTTING_DOWN, or what the variables
-                given at startup raise.
+            RequestError: TOO_MANY_CALLERS, SHUTTING_DOWN, or BAD_TOKEN or UNSUPPORTED
+                for a variable given at startup.
         """
         self.check_admitted(identity)
         session = CallerSession(
             self.services,
             stream,
             identity,
-            self.choose_number(),
-            secrets.token_bytes(SECRET_BYTES),
+            self.allocate_number(),
+            secrets.token_bytes(SECRET_KEY_BYTES),
             self.cancel_statement,
         )
         for name, value in identity.variables.items():
             session.variables.set(name, value)
         identity.variables = {}
         self.sessions[session.number] = session
-        # From here on a caller that goes away ends what runs for it.
+        # From here on the loss of the connection cancels the session's task.
         stream.on_lost = functools.partial(cancel_task, self.tasks[stream])
         key = BackendKeyData(process_id=session.number, secret_key=session.secret_key)
         parameters = build_parameters(identity.user, session.variables)
@@ -250,10 +253,10 @@
         return session
 
     def check_admitted(self, identity: CallerIdentity) -> None:
-        """Refuse a session that would be one too many.
+        """Reject a new session during a shutdown or beyond the limits.
 
         Args:
-            identity: Who the caller is.
+            identity: Identity of the caller.
 
         Raises:
             RequestError: TOO_MANY_CALLERS or SHUTTING_DOWN.
@@ -261,37 +264,39 @@
         if self.services.drain.is_draining:
             raise RequestError(ErrorKind.SHUTTING_DOWN)
         if len(self.sessions) >= self.services.settings.proxy.maximum_callers:
-            raise RequestError(ErrorKind.TOO_MANY_CALLERS, "of all applications")
+            raise RequestError(ErrorKind.TOO_MANY_CALLERS, "limit of the proxy reached")
         name = identity.application
         section = self.services.configuration.document.applications.get(name)
         count = sum(
             other.identity.application == name for other in self.sessions.values()
         )
         if section is None or count >= section.maximum_callers:
-            raise RequestError(ErrorKind.TOO_MANY_CALLERS, f"of application {name}")
+            raise RequestError(
+                ErrorKind.TOO_MANY_CALLERS, f"limit reached by application {name}"
+            )
 
-    def choose_number(self) -> int:
-        """Choose a number that no session has."""
+    def allocate_number(self) -> int:
+        """Return the next session number that is not in use."""
         while True:
             self.last_number = self.last_number % MAXIMUM_SESSION_NUMBER + 1
             if self.last_number not in self.sessions:
                 return self.last_number
 
     async def drain(self, limit_s: float) -> int:
-        """Finish what runs and end all sessions; `services.drain` is draining.
+        """Stop listening and end all sessions; `services.drain` must be draining.
 
         Args:
-            limit_s: Seconds after which the rest is cut.
+            limit_s: Seconds after which the remaining sessions are interrupted.
 
         Returns:
-            How many sessions were cut in a request or transaction.
+            Number of sessions interrupted in a request or transaction.
         """
         self.stop_listening()
         return await drain_sessions(self.sessions, self.services.drain, limit_s)
 
 
 def cancel_task(task: asyncio.Task[None]) -> None:
-    """Cancel the task of a caller that has gone.
+    """Cancel the task of a caller that has disconnected.
 
     Args:
         task: The task.
--- a/ebonyrack/callers/listener_test.py
+++ b/ebonyrack/callers/listener_test.py
@@ -9,17 +9,17 @@
 from ebonyrack.callers.conftest import wait_until
 
 INSERT = "INSERT INTO bookings (slot, booker, request) VALUES (1, 'me', '{}')"
-CALLERS = 6
-LIMIT_S = 20.0
+WORKERS = 6
+DRAIN_LIMIT_S = 20.0
 
 
 class Worker:
-    """A caller that writes for ever and keeps what it was told."""
+    """A caller that writes in a loop and records the acknowledged requests."""
 
     def __init__(self, number):
         self.number = number
         self.acknowledged = []
-        self.refused = None
+        self.rejected = None
         self.error = None
 
     async def run(self, proxy):
@@ -30,35 +30,35 @@
                 async with connection.transaction():
                     await connection.execute(INSERT.format(request))
             except psycopg.Error as error:
-                self.refused = request
+                self.rejected = request
                 self.error = error
                 return
             self.acknowledged.append(request)
 
 
-async def test_a_drain_cuts_no_request(proxy):
-    workers = [Worker(number) for number in range(CALLERS)]
+async def test_drain_interrupts_no_request(proxy):
+    workers = [Worker(number) for number in range(WORKERS)]
     tasks = [asyncio.create_task(worker.run(proxy)) for worker in workers]
     await wait_until(lambda: all(len(worker.acknowledged) > 3 for worker in workers))
     proxy.listener.services.drain.request("test")
-    assert await proxy.listener.drain(LIMIT_S) == 0
+    assert await proxy.listener.drain(DRAIN_LIMIT_S) == 0
     await asyncio.gather(*tasks)
     for worker in workers:
-        # What met the end of the session was refused before it began.
+        # The request that ended the session was rejected before it ran.
         assert worker.error.sqlstate == "57P01"
         assert worker.error.diag.message_detail.startswith("ran=no")
-        assert proxy.count_rows("up-1", f"'{worker.refused}'") == 0
+        assert proxy.count_rows("up-1", f"'{worker.rejected}'") == 0
         for request in worker.acknowledged:
             assert proxy.count_rows("up-1", f"'{request}'") == 1
 
 
-async def test_a_drain_waits_for_an_open_transaction(proxy):
+async def test_drain_waits_for_open_transaction(proxy):
     caller = await proxy.start_wire()
     idle = await proxy.start_wire()
     await caller.query("BEGIN")
     await caller.query(INSERT.format("a"))
     proxy.listener.services.drain.request("test")
-    drain = asyncio.create_task(proxy.listener.drain(LIMIT_S))
+    drain = asyncio.create_task(proxy.listener.drain(DRAIN_LIMIT_S))
     assert b"C57P01" in await idle.read_to_end()
     frames = await caller.query("COMMIT")
     assert join_kinds(frames) == "CSZ" and not drain.done()
@@ -68,7 +68,7 @@
         await proxy.connect()
 
 
-async def test_a_drain_counts_what_it_cuts(proxy):
+async def test_drain_counts_interrupted_sessions(proxy):
     caller = await proxy.start_wire()
     await caller.query("BEGIN")
     await caller.query(INSERT.format("a"))
@@ -76,18 +76,18 @@
     assert await proxy.listener.drain(0.05) == 1
 
 
-async def test_a_second_request_hurries_the_drain(proxy):
+async def test_second_shutdown_request_forces_drain(proxy):
     caller = await proxy.start_wire()
     await caller.query("BEGIN")
     drain = proxy.listener.services.drain
     drain.request("test")
-    running = asyncio.create_task(proxy.listener.drain(LIMIT_S))
+    running = asyncio.create_task(proxy.listener.drain(DRAIN_LIMIT_S))
     await asyncio.sleep(0)
     drain.request("test again")
     assert await running == 1
 
 
-async def test_a_cancel_request_with_a_wrong_secret_does_nothing(proxy):
+async def test_cancel_request_with_wrong_secret_is_ignored(proxy):
     caller = await proxy.start_wire()
     running = asyncio.create_task(caller.query("SELECT pg_sleep(0.1)"))
     await wait_until(lambda: proxy.sessions[0].phase == "upstream")
@@ -99,7 +99,9 @@
     assert join_kinds(await running) == "TDCZ"
 
 
-async def test_a_fault_of_the_proxy_is_answered_and_contained(proxy, monkeypatch):
+async def test_internal_error_is_answered_and_affects_no_other_session(
+    proxy, monkeypatch
+):
     caller, other = [await proxy.start_wire() for _ in range(2)]
     monkeypatch.setattr("ebonyrack.callers.session.classify_statement", None)
     caller.send(b"Q\x00\x00\x00\x0dSELECT 1\x00")
--- a/ebonyrack/callers/parameters.py
+++ b/ebonyrack/callers/parameters.py
@@ -1,4 +1,4 @@
-"""Parameters that a caller is told at startup."""
+"""Parameters reported to a caller at startup."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 if TYPE_CHECKING:
     from ebonyrack.callers.variables import SessionVariables
 
-# Names as PostgreSQL writes them; drivers look for these.
+# Names as PostgreSQL spells them, which drivers expect.
 REPORTED_NAMES = {
     "client_encoding": "client_encoding",
     "datestyle": "DateStyle",
--- a/ebonyrack/callers/parse_tree.py
+++ b/ebonyrack/callers/parse_tree.py
@@ -1,4 +1,4 @@
-"""Walks over parse trees of statements."""
+"""Traversal of statement parse trees."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 from postgast import pg_query_pb2
 
-SKIPPED_NODES = frozenset(
+SKIPPED_NODE_TYPES = frozenset(
     {
         pg_query_pb2.A_Const,
         pg_query_pb2.ColumnRef,
@@ -18,21 +18,21 @@
 
 
 def iterate_nodes(root: Any) -> Iterator[Any]:
-    """Yield the nodes of a parse tree that can change a statement's kind.
+    """Yield the nodes of a parse tree that can affect a statement's kind.
 
-    Constants, column references and type names are left out, which makes this
-    several times faster than the library's own walk.
+    Constants, column references and type names are skipped, which makes this several
+    times faster than the traversal of the library.
 
     Args:
-        root: Node at which to begin.
+        root: Root of the tree.
 
     Yields:
-        Nodes without their wrapper, in no set order.
+        Unwrapped nodes, in unspecified order.
     """
     stack = [root]
     while stack:
         node = unwrap(stack.pop())
-        if type(node) in SKIPPED_NODES:
+        if type(node) in SKIPPED_NODE_TYPES:
             continue
         yield node
         for field, value in node.ListFields():
@@ -45,7 +45,7 @@
 
 
 def unwrap(node: Any) -> Any:
-    """Return the node that a wrapper of any node holds.
+    """Return the concrete node inside a generic `Node` wrapper.
 
     Args:
         node: A node, wrapped or not.
--- a/ebonyrack/callers/prepared.py
+++ b/ebonyrack/callers/prepared.py
@@ -1,4 +1,4 @@
-"""Prepared statements of a session and the frames that name them upstream."""
+"""Prepared statements and the extended query messages that refer to them."""
 
 from __future__ import annotations
 
@@ -19,11 +19,11 @@
 HEADER_BYTES = HEADER.size
 LENGTH_BYTES = 4
 COUNT = struct.Struct("!H")
-# The length of a value is -1 for NULL.
+# Length of a parameter value; -1 for NULL.
 VALUE_LENGTH = struct.Struct("!i")
 NAME_PREFIX = b"ebonyrack_"
 NAME_DIGEST_BYTES = 16
-CACHED_STATEMENTS = 1024
+MAXIMUM_CACHED_STATEMENTS = 1024
 
 
 @dataclass(frozen=True, slots=True)
@@ -31,11 +31,11 @@
     """A statement that a caller has prepared.
 
     Attributes:
-        statement: What the statement is.
+        statement: Classification of the statement.
         text: Query text.
         body: Query and parameter types as in the Parse message.
-        upstream_name: Name for it on upstream connections; empty if the caller
-            gave it none. It depends on nothing but the body.
+        upstream_name: Its name on upstream connections, which depends only on the
+            body; empty if the caller gave it no name.
     """
 
     statement: Statement
@@ -50,15 +50,15 @@
 
 @dataclass(frozen=True, slots=True)
 class PipelineMessage:
-    """One message of the extended query protocol, its names read.
+    """One message of the extended query protocol, with its names decoded.
 
     Attributes:
         kind: Kind byte.
         raw: The frame.
-        target: `S` for a statement, `P` for a portal.
+        target: `S` for a statement or `P` for a portal in Describe and Close.
         portal: Name of the portal.
         statement: Name of the statement.
-        rest: What follows the names.
+        rest: Remaining payload after the names.
     """
 
     kind: bytes
@@ -70,7 +70,7 @@
 
     @property
     def targets_statement(self) -> bool:
-        """Whether a Describe or Close names a statement."""
+        """Whether a Describe or Close refers to a statement."""
         return self.target == b"S"
 
 
@@ -88,7 +88,7 @@
 
 
 def decode_message(kind: bytes, raw: bytes) -> PipelineMessage:
-    """Read the names in a Parse, Bind, Describe, Execute or Close frame.
+    """Decode the names in a Parse, Bind, Describe, Execute or Close frame.
 
     Args:
         kind: Kind byte.
@@ -98,7 +98,7 @@
         The message.
 
     Raises:
-        RequestError: BAD_REQUEST if the frame is not whole.
+        RequestError: BAD_REQUEST if the frame is malformed.
     """
     body = raw[HEADER_BYTES:]
     target = b""
@@ -120,9 +120,9 @@
             elif target == b"P":
                 portal = name
             else:
-                raise ValueError(f"target {target!r}")
+                raise ValueError(f"unknown target {target!r}")
     except ValueError as error:
-        reason = f"message {kind!r} can't be read: {error}"
+        reason = f"message {kind!r} can't be decoded: {error}"
         raise RequestError(ErrorKind.BAD_REQUEST, reason) from error
     return PipelineMessage(kind, raw, target, portal, statement, rest)
 
@@ -134,27 +134,27 @@
         body: Payload that starts with a name.
 
     Returns:
-        The name and the rest.
+        The name and the remaining payload.
 
     Raises:
-        ValueError: If the name has no end.
+        ValueError: If the name has no terminator.
     """
     end = body.index(b"\x00")
     return body[:end], body[end + 1 :]
 
 
 def decode_result_formats(rest: bytes) -> bytes:
-    """Find the result formats in a Bind message.
+    """Extract the result formats of a Bind message.
 
     Args:
-        rest: What follows the names: formats and values of the parameters, then
-            the formats.
+        rest: Payload after the names: formats and values of the parameters, then
+            the result formats.
 
     Returns:
-        Their number and the formats, as they stand in the message.
+        The number of formats and the formats, encoded as in the message.
 
     Raises:
-        RequestError: BAD_REQUEST if the message is not whole.
+        RequestError: BAD_REQUEST if the message is malformed.
     """
     try:
         (format_count,) = COUNT.unpack_from(rest)
@@ -165,13 +165,15 @@
             (value_bytes,) = VALUE_LENGTH.unpack_from(rest, offset)
             offset += VALUE_LENGTH.size + max(value_bytes, 0)
     except struct.error as error:
-        raise RequestError(ErrorKind.BAD_REQUEST, f"Bind: {error}") from error
+        raise RequestError(
+            ErrorKind.BAD_REQUEST, f"malformed Bind message: {error}"
+        ) from error
     return rest[offset:]
 
 
-@functools.lru_cache(maxsize=CACHED_STATEMENTS)
+@functools.lru_cache(maxsize=MAXIMUM_CACHED_STATEMENTS)
 def decode_statement(body: bytes, is_named: bool) -> PreparedStatement:
-    """Read the statement of a Parse message; sessions share equal ones.
+    """Decode the statement of a Parse message; sessions share equal ones.
 
     Args:
         body: Query and parameter types.
@@ -181,7 +183,7 @@
         The statement.
 
     Raises:
-        RequestError: BAD_REQUEST if the text is not whole or not UTF-8.
+        RequestError: BAD_REQUEST if the text is not terminated or not UTF-8.
     """
     try:
         text = split_name(body)[0].decode()
--- a/ebonyrack/callers/read_functions.py
+++ b/ebonyrack/callers/read_functions.py
@@ -1,4 +1,4 @@
-"""Functions and operators of PostgreSQL known not to write or to need a session."""
+"""PostgreSQL functions and operators by whether they write or need a session."""
 
 from __future__ import annotations
 
@@ -95,8 +95,8 @@
     """.split()
 ) | {"NOT BETWEEN", "BETWEEN SYMMETRIC", "NOT BETWEEN SYMMETRIC"}
 
-# Functions whose effect stays with the session, so that a pooled connection would
-# carry it to another caller, or whose answer tells about another caller's session.
+# Functions whose effect persists in the session, so that a pooled connection would
+# leak it to another caller, or whose result comes from another caller's session.
 SESSION_FUNCTIONS = frozenset(
     """
     currval lastval pg_advisory_lock pg_advisory_lock_shared pg_advisory_unlock
@@ -104,5 +104,5 @@
     pg_try_advisory_lock pg_try_advisory_lock_shared setseed pg_backend_pid
     """.split()
 )
-# Functions by which the proxy steers the database group.
+# Functions with which the proxy controls the database group.
 RESERVED_FUNCTION_PREFIX = "ebonyrack_"
--- a/ebonyrack/callers/session.py
+++ b/ebonyrack/callers/session.py
@@ -1,4 +1,4 @@
-"""One caller's session: a loop over its requests, from startup to the end."""
+"""A caller's session: serves its requests from startup to disconnect."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from ebonyrack.callers.dispatch import run_simple
 from ebonyrack.callers.exchange import SimpleRequest
 from ebonyrack.callers.pipeline import Pipeline
-from ebonyrack.callers.startup import check_allowed
+from ebonyrack.callers.startup import check_group_access
 from ebonyrack.callers.statement import classify_statement
 from ebonyrack.callers.transaction import Transaction
 from ebonyrack.callers.transaction_status import IDLE
@@ -44,12 +44,12 @@
 
     Attributes:
         stream: The caller's connection.
-        document: Document against which the identity was checked last.
-        number: Number of the session, which is its process id for the caller.
-        secret_key: Secret that a cancel request must name.
-        cancel_statement: Cancels what an abandoned upstream connection still runs.
-        transaction: The caller's transaction, if there is one.
-        pipeline: Messages of the extended query protocol, once there were any.
+        document: Document with which the caller's access was last checked.
+        number: Number of the session, which the caller sees as its process id.
+        secret_key: Secret key that a cancel request must contain.
+        cancel_statement: Cancels the statement of an abandoned upstream connection.
+        transaction: The caller's transaction, whose status is idle if none is open.
+        pipeline: Handler of the extended query protocol, or None before its first use.
     """
 
     __slots__ = (
@@ -81,7 +81,7 @@
         self.pipeline: Pipeline | None = None
 
     async def run(self) -> None:
-        """Serve requests until the caller goes away or the proxy shuts down."""
+        """Serve requests until the caller disconnects or the proxy shuts down."""
         try:
             while True:
                 frame = await self.read_request()
@@ -94,16 +94,16 @@
             self.transaction.release()
 
     async def read_request(self) -> Message | None:
-        """Wait for the next frame of the caller.
+        """Wait for the caller's next frame.
 
         Returns:
-            The frame, or None if the caller has gone.
+            The frame, or None if the caller has disconnected.
 
         Raises:
             RequestError: BAD_REQUEST if the frame is not valid.
         """
         limit = self.settings.maximum_message_bytes
-        frame = self.stream.take_frame(limit)
+        frame = self.stream.pop_frame(limit)
         if frame is None:
             self.enter_phase(SessionPhase.IDLE)
             frame = await self.stream.read_frame(limit)
@@ -112,11 +112,11 @@
 
     @property
     def is_between_requests(self) -> bool:
-        """Whether neither a request nor a transaction nor a pipeline is open."""
+        """Whether no transaction and no pipeline is open."""
         return self.transaction.status == IDLE and not self.is_in_pipeline
 
     def check_admitted(self) -> None:
-        """Refuse a new request in a shutdown or after the document took the right.
+        """Reject a new request during a shutdown or after access was revoked.
 
         Raises:
             RequestError: SHUTTING_DOWN, UNKNOWN_GROUP or NOT_ALLOWED; the request
@@ -130,25 +130,25 @@
             return
         if is_draining:
             raise RequestError(ErrorKind.SHUTTING_DOWN)
-        check_allowed(document, self.identity)
+        check_group_access(document, self.identity)
         self.document = document
 
-    def end_idle(self) -> None:
-        """End the session unasked, if it waits for a request (for a shutdown)."""
+    def end_if_idle(self) -> None:
+        """End the session for a shutdown if it is waiting for a request."""
         if self.phase is not SessionPhase.IDLE or not self.is_between_requests:
             return
-        if self.stream.buffer or self.stream.is_lost or self.stream.is_finished:
+        if self.stream.buffer or self.stream.is_lost or self.stream.is_eof_sent:
             return
         self.stream.write(build_error_response(RequestError(ErrorKind.SHUTTING_DOWN)))
-        self.stream.finish()
+        self.stream.send_eof()
 
     @property
     def is_in_pipeline(self) -> bool:
-        """Whether messages have come that no Sync has closed yet."""
+        """Whether a pipeline is open, i.e. its Sync has not arrived yet."""
         return self.pipeline is not None and self.pipeline.is_open
 
     async def drain_output(self) -> None:
-        """Wait until the caller has taken most of its answer."""
+        """Wait while the send buffer to the caller is full."""
         if self.stream.is_writing_paused:
             self.enter_phase(SessionPhase.CALLER)
             await self.stream.drain()
@@ -161,7 +161,7 @@
             frame: The frame.
 
         Raises:
-            RequestError: BAD_REQUEST for a frame that has no place here.
+            RequestError: BAD_REQUEST for an unexpected kind of frame.
         """
         if frame.kind == b"Q":
             await self.run_query(frame)
@@ -173,17 +173,17 @@
             self.fail(RequestError(ErrorKind.UNSUPPORTED, "function call"))
             self.write_ready()
         elif frame.kind not in COPY_KINDS:
-            # Data of a COPY that was refused may still be on its way; skip it.
+            # Data of a rejected COPY may still arrive and is ignored.
             raise RequestError(ErrorKind.BAD_REQUEST, f"message {frame.kind!r}")
 
     async def run_query(self, frame: Message) -> None:
-        """Serve a simple query and end it with ReadyForQuery.
+        """Serve a simple query and send ReadyForQuery.
 
         Args:
             frame: The Query frame.
 
         Raises:
-            RequestError: If the session ends with it.
+            RequestError: If the error ends the session.
         """
         if self.pipeline is not None:
             # As in PostgreSQL, a simple query drops the unnamed statement.
@@ -193,21 +193,23 @@
         except (PygwireError, ValueError) as error:
             raise RequestError(ErrorKind.BAD_REQUEST, str(error)) from error
         statement = classify_statement(sql)
-        await self.attempt(statement, SimpleRequest(frame.raw))
+        await self.serve_statement(statement, SimpleRequest(frame.raw))
         self.write_ready()
 
-    async def attempt(self, statement: Statement, request: SimpleRequest) -> bool:
-        """Serve one statement; an error that does not end the session is answered.
+    async def serve_statement(
+        self, statement: Statement, request: SimpleRequest
+    ) -> bool:
+        """Serve one statement and send errors that don't end the session.
 
         Args:
-            statement: What the statement is.
-            request: What to send for it.
+            statement: Classification of the statement.
+            request: The request to send to an upstream.
 
         Returns:
             Whether it succeeded.
 
         Raises:
-            RequestError: If the session ends with it.
+            RequestError: If the error ends the session.
         """
         started_s = now_s()
         try:
@@ -220,10 +222,10 @@
         return is_success
 
     def count_request(self, statement: Statement, is_success: bool) -> None:
-        """Count a request that was answered.
+        """Count an answered request.
 
         Args:
-            statement: What the statement was.
+            statement: Classification of the statement.
             is_success: Whether it succeeded.
         """
         outcome = "success" if is_success else "error"
@@ -231,13 +233,13 @@
         metrics.requests.add(1, {**labels, "outcome": outcome})
 
     def fail(self, error: RequestError) -> None:
-        """Answer an error and roll back the transaction, if there is one.
+        """Roll back the transaction, if one is open, and send an error.
 
         Args:
-            error: What ended the request.
+            error: The error that ended the request.
 
         Raises:
-            RequestError: The same error, if the session ends with it.
+            RequestError: The same error, if it ends the session.
         """
         logger.bind(
             kind=error.kind, reason=error.reason, group=self.identity.group
@@ -249,5 +251,5 @@
         self.stream.write(build_error_response(error))
 
     def write_ready(self) -> None:
-        """Tell the caller that the next request may come."""
+        """Send ReadyForQuery."""
         self.stream.write(build_ready_for_query(self.transaction.status))
--- a/ebonyrack/callers/session_drain.py
+++ b/ebonyrack/callers/session_drain.py
@@ -1,4 +1,4 @@
-"""The end of all sessions of a proxy that shuts down."""
+"""Ends all sessions when the proxy shuts down."""
 
 from __future__ import annotations
 
@@ -16,43 +16,43 @@
     from ebonyrack.service.drain import Drain
 
 DRAIN_CHECK_S = 0.02
-# During a drain a busy caller's next request is refused, which tells it surely that
-# the request did not run. Only who sends none for this long is ended unasked.
-IDLE_GRACE_S = 1.0
+# During a drain the next request of a busy caller is rejected, which tells it that the
+# request did not run. Only sessions that send none for this long are closed while idle.
+IDLE_GRACE_PERIOD_S = 1.0
 
 
 async def drain_sessions(
     sessions: dict[int, CallerSession], drain: Drain, limit_s: float
 ) -> int:
-    """Finish what runs and end all sessions.
+    """Wait until all sessions have ended, and end idle ones after a grace period.
 
     Args:
-        sessions: Sessions by number, which leave it as they end.
-        drain: Life cycle of the proxy, which is draining.
-        limit_s: Seconds after which the rest is cut.
+        sessions: Sessions by number; sessions that end are removed from it.
+        drain: Drain state of the proxy, which is draining.
+        limit_s: Seconds after which the wait is given up.
 
     Returns:
-        How many sessions are left in a request or transaction.
+        Number of sessions that are still in a request or transaction.
     """
     deadline_s = now_s() + limit_s
-    unasked_s = now_s() + IDLE_GRACE_S
+    idle_deadline_s = now_s() + IDLE_GRACE_PERIOD_S
     while sessions and now_s() < deadline_s and not drain.forced.is_set():
-        if now_s() >= unasked_s:
+        if now_s() >= idle_deadline_s:
             for session in tuple(sessions.values()):
-                session.end_idle()
+                session.end_if_idle()
         await asyncio.sleep(DRAIN_CHECK_S)
-    cut = [session for session in sessions.values() if is_in_use(session)]
-    for session in cut:
+    interrupted = [session for session in sessions.values() if is_in_use(session)]
+    for session in interrupted:
         logger.bind(
             session=session.number,
             group=session.identity.group,
             phase=session.phase,
         ).warning("session_cut")
-    return len(cut)
+    return len(interrupted)
 
 
 def is_in_use(session: CallerSession) -> bool:
-    """Whether a session is in a request or transaction.
+    """Return whether a session is in a request or transaction.
 
     Args:
         session: The session.
--- a/ebonyrack/callers/session_model_test.py
+++ b/ebonyrack/callers/session_model_test.py
@@ -1,4 +1,4 @@
-"""Sessions of several callers against a model: transactions never mix."""
+"""Model test: transactions of concurrent callers never interfere."""
 
 import asyncio
 from contextlib import AsyncExitStack
@@ -28,22 +28,22 @@
 INSERT = "INSERT INTO bookings (slot, booker, request) VALUES (1, 'me', '{}')"
 READ = "SELECT request FROM bookings"
 CALLERS = 3
-LONG_S = 3600.0
+BEYOND_IDLE_LIMIT_S = 3600.0
 
 NUMBERS = strategies.integers(0, CALLERS - 1)
-# How a statement is sent.
-MANNERS = strategies.sampled_from(["simple", "extended", "named", "flushed"])
+# Protocol used to send a statement.
+SEND_MODES = strategies.sampled_from(["simple", "extended", "named", "flushed"])
 
 
 class ModelCaller:
-    """What a caller must see.
+    """A caller and the state that its session must have.
 
     Attributes:
-        wire: Its connection.
-        status: Transaction status.
-        pending: Requests written in its transaction.
-        is_writer: Whether its transaction has written, perhaps in vain.
-        has_expired: Whether the next statement meets the idle limit.
+        wire: The caller's connection.
+        status: Expected transaction status.
+        pending: Requests written in the open transaction.
+        has_written: Whether the transaction has sent a write, even if it failed.
+        has_expired: Whether the next statement fails with the idle timeout.
     """
 
     def __init__(self, wire):
@@ -53,14 +53,14 @@
     def end(self):
         self.status = "I"
         self.pending = []
-        self.is_writer = False
+        self.has_written = False
         self.has_expired = False
 
-    async def run(self, sql, manner):
-        if manner == "simple":
+    async def run(self, sql, mode):
+        if mode == "simple":
             return await self.wire.query(sql)
-        name = b"s%d" % (hash(sql) % 1000) if manner == "named" else b""
-        flush = FLUSH if manner == "flushed" else b""
+        name = b"s%d" % (hash(sql) % 1000) if mode == "named" else b""
+        flush = FLUSH if mode == "flushed" else b""
         frames = await self.wire.send_and_read(
             parse(name, sql.encode()), flush, bind(name), execute(), flush, SYNC
         )
@@ -71,11 +71,11 @@
 
 
 class SessionMachine(RuleBasedStateMachine):
-    """Callers that begin, write, read, commit, roll back, leave and are cut off.
+    """Callers that begin, write, read, commit, roll back, disconnect and time out.
 
     Attributes:
-        committed: Requests that must be there.
-        callers: The callers with what each must see.
+        committed: Requests of committed writes.
+        callers: The callers with their expected state.
     """
 
     def __init__(self):
@@ -96,8 +96,8 @@
         self.runner.run(self.stack.aclose())
         self.runner.close()
 
-    def run(self, caller, sql, manner="simple"):
-        frames = self.runner.run(caller.run(sql, manner))
+    def run(self, caller, sql, mode="simple"):
+        frames = self.runner.run(caller.run(sql, mode))
         if caller.has_expired and not sql.startswith("ROLLBACK"):
             assert find_error(frames)[0] == "25P03"
             caller.has_expired = False
@@ -108,33 +108,33 @@
 
     @property
     def writer(self):
-        return next((caller for caller in self.callers if caller.is_writer), None)
+        return next((caller for caller in self.callers if caller.has_written), None)
 
-    @rule(number=NUMBERS, manner=MANNERS)
-    def begin(self, number, manner):
+    @rule(number=NUMBERS, mode=SEND_MODES)
+    def begin(self, number, mode):
         caller = self.callers[number]
-        frames = self.run(caller, "BEGIN", manner)
+        frames = self.run(caller, "BEGIN", mode)
         if frames and caller.status == "E":
             assert find_error(frames)[0] == "25P02"
         elif caller.status == "I":
             caller.status = "T"
 
-    @rule(number=NUMBERS, manner=MANNERS, is_double=strategies.booleans())
-    def write(self, number, manner, is_double):
+    @rule(number=NUMBERS, mode=SEND_MODES, is_duplicate=strategies.booleans())
+    def write(self, number, mode, is_duplicate):
         caller = self.callers[number]
-        # Two transactions that write one value wait for each other; so does a test
-        # that runs their statements one after the other.
-        is_alone = self.writer in (None, caller)
-        is_double = is_double and is_alone and bool(self.committed)
+        # A duplicate write waits for the other transaction, which would block this
+        # test, because it runs statements one after the other.
+        is_only_writer = self.writer in (None, caller)
+        is_duplicate = is_duplicate and is_only_writer and bool(self.committed)
         self.count += 1
-        request = min(self.committed) if is_double else f"r{self.count}"
-        frames = self.run(caller, INSERT.format(request), manner)
+        request = min(self.committed) if is_duplicate else f"r{self.count}"
+        frames = self.run(caller, INSERT.format(request), mode)
         if not frames:
             return
-        caller.is_writer = caller.status == "T" or caller.is_writer
+        caller.has_written = caller.status == "T" or caller.has_written
         if caller.status == "E":
             assert find_error(frames)[0] == "25P02"
-        elif is_double:
+        elif is_duplicate:
             assert find_error(frames)[0] == "23505"
             self.fail_transaction(caller)
         else:
@@ -149,10 +149,10 @@
             caller.status = "E"
         caller.pending = []
 
-    @rule(number=NUMBERS, manner=MANNERS)
-    def read(self, number, manner):
+    @rule(number=NUMBERS, mode=SEND_MODES)
+    def read(self, number, mode):
         caller = self.callers[number]
-        frames = self.run(caller, READ, manner)
+        frames = self.run(caller, READ, mode)
         if not frames:
             return
         if caller.status == "E":
@@ -161,10 +161,10 @@
         seen = {payload[6:].decode() for kind, payload in frames if kind == b"D"}
         assert seen == self.committed | set(caller.pending)
 
-    @rule(number=NUMBERS, manner=MANNERS)
-    def commit(self, number, manner):
+    @rule(number=NUMBERS, mode=SEND_MODES)
+    def commit(self, number, mode):
         caller = self.callers[number]
-        frames = self.run(caller, "COMMIT", manner)
+        frames = self.run(caller, "COMMIT", mode)
         if not frames:
             caller.end()
             return
@@ -173,30 +173,30 @@
         self.committed.update(caller.pending)
         caller.end()
 
-    @rule(number=NUMBERS, manner=MANNERS)
-    def roll_back(self, number, manner):
+    @rule(number=NUMBERS, mode=SEND_MODES)
+    def roll_back(self, number, mode):
         caller = self.callers[number]
-        frames = self.run(caller, "ROLLBACK", manner)
+        frames = self.run(caller, "ROLLBACK", mode)
         assert (b"C", b"ROLLBACK\x00") in frames
         caller.end()
 
     @rule(number=NUMBERS)
-    def leave(self, number):
+    def disconnect(self, number):
         self.callers[number].wire.abort()
         self.runner.run(wait_until(lambda: len(self.proxy.sessions) == CALLERS - 1))
         self.callers[number] = self.connect()
 
     @rule()
     @precondition(lambda self: self.writer is not None)
-    def leave_while_writing(self):
-        self.leave(self.callers.index(self.writer))
+    def disconnect_while_writing(self):
+        self.disconnect(self.callers.index(self.writer))
 
     @rule()
     @precondition(lambda self: any(caller.status == "T" for caller in self.callers))
-    def expire(self):
-        """Every caller is idle for too long."""
+    def expire_idle_transactions(self):
+        """Exceed the idle limit in every session that holds a connection."""
         holding = {s.number for s in self.proxy.sessions if s.connection is not None}
-        check_sessions(self.proxy.sessions, now_s() + LONG_S)
+        check_sessions(self.proxy.sessions, now_s() + BEYOND_IDLE_LIMIT_S)
         ordered = sorted(self.proxy.sessions, key=lambda session: session.number)
         by_port = {s.stream.transport.get_extra_info("peername"): s for s in ordered}
         for caller in self.callers:
@@ -207,8 +207,8 @@
                 caller.has_expired = True
 
     @rule(number=NUMBERS)
-    def cancel_nothing(self, number):
-        """A cancel request that comes when nothing runs hits nobody."""
+    def cancel_idle_session(self, number):
+        """Send a cancel request while no statement runs, which must have no effect."""
         session = self.proxy.sessions[number]
         self.runner.run(self.send_cancel(session))
 
@@ -220,7 +220,7 @@
         await caller.read_to_end()
 
     @invariant()
-    def statuses_and_connections_agree(self):
+    def connections_match_open_transactions(self):
         busy = sum(
             len(upstream.pool.busy) for upstream in self.proxy.group.upstreams.values()
         )
--- a/ebonyrack/callers/session_test.py
+++ b/ebonyrack/callers/session_test.py
@@ -13,8 +13,8 @@
 
 INSERT = "INSERT INTO bookings (slot, booker, request) VALUES (1, 'me', '{}')"
 COUNT = "SELECT count(*) FROM bookings"
-# Reads wait for replicas, and late answers make none of them unreachable.
-PATIENT = {"suspect_after_s": 30, "read_wait_s": 20}
+# Reads wait for replicas, and late answers don't make replicas unhealthy.
+LONG_TIMEOUTS = {"suspect_after_s": 30, "read_wait_s": 20}
 
 
 async def fetch(connection, sql, values=None):
@@ -22,13 +22,13 @@
 
 
 async def write(writer, number):
-    """Write a booking; return the token of the session."""
+    """Write a booking and return the session token."""
     await writer.execute(INSERT.format(number))
     return writer.info.parameter_status("ebonyrack.token")
 
 
 async def read_by_token(proxy, token, count):
-    """Read in a new session that has a token; return who served it."""
+    """Read in a new session with a token and return the upstream that served it."""
     options = f"-c ebonyrack.token={token}"
     async with await proxy.connect(options=options) as reader:
         assert await fetch(reader, COUNT) == [(count,)]
@@ -37,8 +37,8 @@
     return served_by[0][0]
 
 
-async def test_a_session_that_roams_by_token_reads_its_writes_on_replicas():
-    async with open_proxy(**PATIENT) as proxy:
+async def test_session_with_token_reads_its_writes_on_replicas():
+    async with open_proxy(**LONG_TIMEOUTS) as proxy:
         proxy.standins.set_lag(0.02)
         async with await proxy.connect() as writer:
             for number in range(5):
@@ -47,17 +47,17 @@
                 assert served_by.endswith("replica")
 
 
-async def test_replicas_that_answer_too_late_leave_a_read_to_the_primary(proxy):
+async def test_read_goes_to_primary_when_replicas_answer_too_late(proxy):
     async with await proxy.connect() as writer:
         token = await write(writer, 0)
         for name in ("up-2", "up-3"):
-            late_s = 1.5 * proxy.group.section.suspect_after_s
-            proxy.standins[name].faults.answer_delay_s = late_s
+            delay_s = 1.5 * proxy.group.section.suspect_after_s
+            proxy.standins[name].faults.answer_delay_s = delay_s
         await wait_until(lambda: not proxy.group.replicas())
         assert (await read_by_token(proxy, token, 1)).endswith("primary")
 
 
-async def test_a_read_without_a_token_sees_every_acknowledged_write(proxy):
+async def test_read_without_token_sees_every_acknowledged_write(proxy):
     proxy.standins.set_lag(0.02)
     async with await proxy.connect() as writer, await proxy.connect() as reader:
         for number in range(5):
@@ -65,7 +65,7 @@
             assert await fetch(reader, COUNT) == [(number + 1,)]
 
 
-async def test_a_transaction_stays_on_one_connection_of_the_primary(proxy):
+async def test_transaction_stays_on_one_primary_connection(proxy):
     async with await proxy.connect(autocommit=False) as connection:
         await connection.execute(INSERT.format("a"))
         assert await fetch(connection, COUNT) == [(1,)]
@@ -77,14 +77,14 @@
     assert proxy.pool().busy_count == 0
 
 
-async def test_begin_holds_no_connection_before_the_first_statement(proxy):
+async def test_begin_holds_no_connection_before_first_statement(proxy):
     caller = await proxy.start_wire()
     assert await caller.query("BEGIN") == [(b"C", b"BEGIN\x00"), (b"Z", b"T")]
     assert proxy.pool().busy_count == 0
     assert await caller.query("COMMIT") == [(b"C", b"COMMIT\x00"), (b"Z", b"I")]
 
 
-async def test_a_read_only_transaction_may_use_a_replica(proxy):
+async def test_read_only_transaction_may_use_replica(proxy):
     async with await proxy.connect() as connection:
         await connection.execute("BEGIN READ ONLY")
         assert await fetch(connection, COUNT) == [(0,)]
@@ -92,7 +92,7 @@
         await connection.execute("COMMIT")
 
 
-async def test_a_failed_transaction_answers_as_postgresql_does(proxy):
+async def test_failed_transaction_answers_as_postgresql_does(proxy):
     caller = await proxy.start_wire()
     await caller.query("BEGIN")
     assert (await caller.query("SELECT nonsense FROM nowhere"))[-1] == (b"Z", b"E")
@@ -103,7 +103,7 @@
     assert await caller.query("COMMIT") == [(b"C", b"ROLLBACK\x00"), (b"Z", b"I")]
 
 
-async def test_a_refusal_in_a_transaction_fails_it(proxy):
+async def test_unsupported_statement_fails_transaction(proxy):
     caller = await proxy.start_wire()
     await caller.query("BEGIN")
     await caller.query(INSERT.format("a"))
@@ -127,7 +127,7 @@
         "SET ebonyrack.max_age = 'long'",
     ],
 )
-async def test_what_a_pooled_connection_can_not_keep_is_refused(proxy, sql):
+async def test_statement_unsupported_on_pooled_connections_is_rejected(proxy, sql):
     caller = await proxy.start_wire()
     frames = await caller.query(sql)
     sqlstate, detail = find_error(frames)
@@ -150,12 +150,14 @@
         "DEALLOCATE ALL",
     ],
 )
-async def test_settings_that_change_nothing_are_accepted(proxy, sql):
+async def test_settings_without_effect_are_accepted(proxy, sql):
     caller = await proxy.start_wire()
     assert join_kinds(await caller.query(sql)) == "CZ"
 
 
-async def test_a_read_is_tried_once_more_while_nothing_was_sent(proxy, monkeypatch):
+async def test_read_is_retried_when_connection_is_lost_before_answer(
+    proxy, monkeypatch
+):
     lost = []
 
     async def lose_once(connection):
@@ -172,7 +174,7 @@
     assert len(lost) == 1
 
 
-async def test_a_cancel_request_ends_the_statement_of_its_session_only(proxy):
+async def test_cancel_request_affects_only_its_session(proxy):
     async with await proxy.connect() as slow, await proxy.connect() as other:
         running = asyncio.create_task(slow.execute("SELECT pg_sleep(60)"))
         await wait_until(lambda: any(s.phase == "upstream" for s in proxy.sessions))
@@ -186,22 +188,22 @@
         assert sum(busy) == 0
 
 
-async def test_a_request_that_waits_for_a_connection_can_be_cancelled():
+async def test_request_waiting_for_connection_can_be_cancelled():
     async with open_proxy(limit=2) as proxy:
-        async with await proxy.connect() as holder, await proxy.connect() as waiting:
-            await holder.execute("BEGIN")
-            await holder.execute(INSERT.format("a"))
+        async with await proxy.connect() as holding, await proxy.connect() as waiting:
+            await holding.execute("BEGIN")
+            await holding.execute(INSERT.format("a"))
             running = asyncio.create_task(waiting.execute(INSERT.format("b")))
             await wait_until(lambda: proxy.pool().waiting_count == 1)
             await waiting.cancel_safe()
             with pytest.raises(psycopg.errors.QueryCanceled) as raised:
                 await running
             assert raised.value.diag.message_detail.startswith("ran=no")
-            await holder.execute("COMMIT")
+            await holding.execute("COMMIT")
             assert proxy.pool().waiting_count == 0
 
 
-async def test_a_caller_that_leaves_frees_its_connection(proxy):
+async def test_disconnected_caller_frees_its_connection(proxy):
     caller = await proxy.start_wire()
     running = asyncio.create_task(caller.query("SELECT pg_sleep(60)"))
     await wait_until(lambda: any(s.phase == "upstream" for s in proxy.sessions))
@@ -215,7 +217,7 @@
         assert not any(session.is_executing for session in running_there)
 
 
-async def test_a_transaction_that_is_idle_too_long_is_rolled_back(proxy):
+async def test_transaction_idle_too_long_is_rolled_back(proxy):
     caller = await proxy.start_wire()
     await caller.query("BEGIN")
     await caller.query(INSERT.format("a"))
@@ -230,7 +232,7 @@
     assert proxy.count_rows("up-1", "a") == 0
 
 
-async def test_an_upstream_that_does_not_answer_is_given_up(proxy):
+async def test_connection_of_unresponsive_upstream_is_closed(proxy):
     caller = await proxy.start_wire()
     await caller.query("BEGIN")
     await caller.query(INSERT.format("a"))
@@ -243,7 +245,7 @@
     proxy.standins.resume("up-1")
 
 
-async def test_a_key_makes_a_lone_write_run_once(proxy):
+async def test_idempotency_key_makes_single_write_run_once(proxy):
     async with await proxy.connect() as connection:
         for replayed in ("off", "on"):
             await connection.execute("SET ebonyrack.idempotency_key = 'k'")
@@ -252,12 +254,12 @@
             status = connection.info.parameter_status("ebonyrack.replayed")
             assert status == replayed
         assert await fetch(connection, COUNT) == [(1,)]
-        # The key is used up by one transaction.
+        # The key applies to one transaction only.
         await connection.execute(INSERT.format("b"))
         assert await fetch(connection, COUNT) == [(2,)]
 
 
-async def test_a_key_makes_a_transaction_run_once(proxy):
+async def test_idempotency_key_makes_transaction_run_once(proxy):
     async with await proxy.connect() as connection:
         await connection.execute("SET ebonyrack.idempotency_key = 'k'")
         async with connection.transaction():
@@ -271,7 +273,7 @@
         assert await fetch(connection, COUNT) == [(1,)]
 
 
-async def test_a_keyed_write_that_fails_leaves_its_key_free(proxy):
+async def test_failed_keyed_write_does_not_consume_key(proxy):
     async with await proxy.connect() as connection:
         await connection.execute(INSERT.format("a"))
         for request, error in (("a", psycopg.errors.UniqueViolation), ("b", None)):
@@ -284,7 +286,7 @@
         assert await fetch(connection, COUNT) == [(2,)]
 
 
-async def test_a_caller_that_takes_no_answer_loses_its_connection(proxy):
+async def test_caller_that_reads_no_answer_is_disconnected(proxy):
     insert = "INSERT INTO bookings (slot, booker, request) VALUES (%s, %s, %s)"
     async with await proxy.connect() as writer:
         for number in range(20):
--- a/ebonyrack/callers/startup.py
+++ b/ebonyrack/callers/startup.py
@@ -1,4 +1,4 @@
-"""The start of a caller's connection: encryption requests, startup, password."""
+"""Startup of a caller's connection: encryption requests, startup message, login."""
 
 from __future__ import annotations
 
@@ -35,17 +35,17 @@
 MAXIMUM_ENCRYPTION_REQUESTS = 2
 PROTOCOL_MAJOR = 3
 CONTROL_PARAMETERS = frozenset({"user", "database", "options", "replication"})
-OPTION = re.compile(r"(?:-c\s*|--)([^=\s]+)=((?:\\.|\S)*)")
+OPTION_PATTERN = re.compile(r"(?:-c\s*|--)([^=\s]+)=((?:\\.|\S)*)")
 
 
 @dataclass(slots=True)
 class CallerIdentity:
-    """Who has connected and what was asked for.
+    """Identity of a caller and the session that it requested.
 
     Attributes:
         application: Name of the application's section in the document.
         user: User name.
-        group: Name of the database group.
+        group: Name of the requested database group.
         variables: Session variables and parameters given at startup.
     """
 
@@ -58,16 +58,16 @@
 async def read_startup_request(
     stream: CallerStream,
 ) -> StartupMessage | CancelRequest | None:
-    """Read the first request and refuse encryption before it.
+    """Decline encryption requests and read the startup request.
 
     Args:
         stream: The caller's connection.
 
     Returns:
-        The request, or None if the caller has gone.
+        The request, or None if the caller has disconnected.
 
     Raises:
-        RequestError: BAD_REQUEST if it is none of the protocol's.
+        RequestError: BAD_REQUEST if the request is not valid.
     """
     for _ in range(MAXIMUM_ENCRYPTION_REQUESTS + 1):
         packet = await stream.read_startup()
@@ -75,13 +75,16 @@
             return None
         (code,) = REQUEST_CODE.unpack_from(packet, LENGTH_BYTES)
         if code in (StartupRequestCode.SSL_REQUEST, StartupRequestCode.GSSENC_REQUEST):
-            # Bytes behind the request would be taken as part of an encrypted stream.
+            # These bytes could be mistaken for part of an encrypted stream.
             if stream.buffer:
-                raise RequestError(ErrorKind.BAD_REQUEST, "data behind the request")
+                raise RequestError(
+                    ErrorKind.BAD_REQUEST,
+                    "unexpected data after the encryption request",
+                )
             stream.write(ENCRYPTION_REFUSED)
             continue
         return decode_startup(code, memoryview(packet)[LENGTH_BYTES:])
-    raise RequestError(ErrorKind.BAD_REQUEST, "too many requests for encryption")
+    raise RequestError(ErrorKind.BAD_REQUEST, "too many encryption requests")
 
 
 def decode_startup(code: int, payload: memoryview) -> StartupMessage | CancelRequest:
@@ -95,7 +98,7 @@
         The request.
 
     Raises:
-        RequestError: BAD_REQUEST if it can't be decoded.
+        RequestError: BAD_REQUEST if the packet can't be decoded.
     """
     try:
         if code == StartupRequestCode.CANCEL_REQUEST:
@@ -105,11 +108,11 @@
     except (PygwireError, struct.error, ValueError) as error:
         reason = "the startup message can't be decoded"
         raise RequestError(ErrorKind.BAD_REQUEST, reason) from error
-    raise RequestError(ErrorKind.BAD_REQUEST, f"protocol {code >> 16} is not known")
+    raise RequestError(ErrorKind.BAD_REQUEST, f"protocol {code >> 16} is not supported")
 
 
 def negotiate_protocol(stream: CallerStream, message: StartupMessage) -> None:
-    """Tell a caller that asks for more than protocol 3.0 what it gets.
+    """Offer protocol 3.0 to a caller that requests a newer version or its options.
 
     Args:
         stream: The caller's connection.
@@ -123,37 +126,37 @@
 
 
 def parse_options(text: str) -> dict[str, str]:
-    """Read the `options` parameter, such as `-c ebonyrack.token=abc`.
+    """Parse the `options` parameter, such as `-c ebonyrack.token=abc`.
 
     Args:
         text: Options as libpq sends them; a backslash escapes white space.
 
     Returns:
-        Variable to value.
+        Values by variable name.
 
     Raises:
-        RequestError: UNSUPPORTED if there is anything else in it.
+        RequestError: UNSUPPORTED if the text contains anything else.
     """
-    rest = OPTION.sub("", text).strip()
+    rest = OPTION_PATTERN.sub("", text).strip()
     if rest:
         raise RequestError(ErrorKind.UNSUPPORTED, f"startup option {rest!r}")
     return {
         match[1].replace("-", "_").lower(): re.sub(r"\\(.)", r"\1", match[2])
-        for match in OPTION.finditer(text)
+        for match in OPTION_PATTERN.finditer(text)
     }
 
 
-def read_variables(message: StartupMessage) -> dict[str, str]:
-    """Collect the variables that a startup message sets.
+def extract_variables(message: StartupMessage) -> dict[str, str]:
+    """Extract the session variables from a startup message.
 
     Args:
         message: The startup message.
 
     Returns:
-        Variable to value, names in lower case.
+        Values by variable name in lower case.
 
     Raises:
-        RequestError: UNSUPPORTED for options that can't be read.
+        RequestError: UNSUPPORTED for options that can't be parsed.
     """
     variables = parse_options(message.params.get("options", ""))
     for name, value in message.params.items():
@@ -168,12 +171,12 @@
     document: Document,
     settings: ProxySettings,
 ) -> CallerIdentity:
-    """Check who the caller is and whether it may use the group.
+    """Authenticate a caller and check its access to the database group.
 
     Args:
         stream: The caller's connection.
         message: The startup message.
-        document: The document in force.
+        document: The current document.
         settings: Settings of the proxy.
 
     Returns:
@@ -185,7 +188,7 @@
     """
     user = message.params.get("user", "")
     if not user:
-        raise RequestError(ErrorKind.BAD_REQUEST, "the startup names no user")
+        raise RequestError(ErrorKind.BAD_REQUEST, "the startup message has no user")
     if message.params.get("replication", "false") not in ("false", "off", "0"):
         raise RequestError(ErrorKind.UNSUPPORTED, "replication connection")
     name, application = find_application(document, user)
@@ -194,18 +197,18 @@
     if application is None:
         raise RequestError(ErrorKind.AUTHENTICATION_FAILED, "unknown user")
     identity = CallerIdentity(name, user, message.params.get("database", user))
-    check_allowed(document, identity)
-    identity.variables = read_variables(message)
+    check_group_access(document, identity)
+    identity.variables = extract_variables(message)
     stream.write(AuthenticationOk().to_wire())
     return identity
 
 
-def check_allowed(document: Document, identity: CallerIdentity) -> None:
-    """Check that a document lets a caller use its group.
+def check_group_access(document: Document, identity: CallerIdentity) -> None:
+    """Check that the document permits a caller to use its database group.
 
     Args:
-        document: The document in force.
-        identity: Who the caller is.
+        document: The current document.
+        identity: Identity of the caller.
 
     Raises:
         RequestError: UNKNOWN_GROUP or NOT_ALLOWED.
@@ -224,7 +227,7 @@
     """Find the application that a user belongs to.
 
     Args:
-        document: The document in force.
+        document: The current document.
         user: User name.
 
     Returns:
@@ -242,7 +245,7 @@
     """Check the caller's password.
 
     An unknown user goes through the same exchange, so that the answer does not
-    tell which users there are.
+    reveal which users exist.
 
     Args:
         stream: The caller's connection.
@@ -261,14 +264,14 @@
 
 
 def is_trusted(stream: CallerStream, settings: ProxySettings) -> bool:
-    """Tell whether a caller needs no password.
+    """Return whether a caller needs no password.
 
     Args:
         stream: The caller's connection.
         settings: Settings of the proxy.
 
     Returns:
-        True only if the settings say so and both ends are on loopback.
+        True only if the settings trust loopback and both ends are loopback addresses.
     """
     if not settings.trust_loopback_callers or stream.transport is None:
         return False
--- a/ebonyrack/callers/startup_test.py
+++ b/ebonyrack/callers/startup_test.py
@@ -23,7 +23,7 @@
 @pytest.mark.parametrize(
     "requests", [(SSLRequest, GSSEncRequest), (GSSEncRequest, SSLRequest)]
 )
-async def test_encryption_is_refused_and_the_startup_goes_on(proxy, requests):
+async def test_startup_continues_after_encryption_is_declined(proxy, requests):
     caller = await proxy.open_wire()
     for request in requests:
         caller.send(request().to_wire())
@@ -32,12 +32,12 @@
     assert join_kinds(frames).startswith("RS") and join_kinds(frames).endswith("KZ")
 
 
-async def test_a_caller_that_insists_on_tls_is_told_cleanly(proxy):
+async def test_caller_that_requires_tls_gets_clear_error(proxy):
     with pytest.raises(psycopg.OperationalError, match="does not support SSL"):
         await proxy.connect(sslmode="require")
 
 
-async def test_a_newer_protocol_is_negotiated_down(proxy):
+async def test_newer_protocol_is_negotiated_down(proxy):
     caller = await proxy.open_wire()
     message = StartupMessage(
         params={"user": USER, "database": GROUP, "_pq_.new": "1"},
@@ -48,7 +48,7 @@
     assert join_kinds(frames).endswith("KZ")
 
 
-async def test_the_password_is_checked():
+async def test_password_is_checked():
     async with open_proxy(proxy={"trust_loopback_callers": False}) as proxy:
         async with await proxy.connect(password=PASSWORD) as connection:
             rows = await (await connection.execute("SELECT 1")).fetchall()
@@ -70,7 +70,7 @@
         ({"timezone": "Asia/Tokyo"}, "0A000"),
     ],
 )
-async def test_a_startup_that_can_not_be_served_is_refused(proxy, params, sqlstate):
+async def test_unsupported_or_unauthorized_startup_is_rejected(proxy, params, sqlstate):
     caller = await proxy.open_wire()
     message = StartupMessage(params={"user": USER, "database": GROUP, **params})
     caller.send(message.to_wire())
@@ -81,7 +81,7 @@
     assert await caller.read_to_end() == b""
 
 
-async def test_the_number_of_callers_is_limited():
+async def test_number_of_callers_is_limited():
     async with open_proxy(application={"maximum_callers": 1}) as proxy:
         first = await proxy.connect()
         with pytest.raises(psycopg.OperationalError, match="no more connections"):
@@ -102,7 +102,7 @@
         b"GET / HTTP/1.1\r\n\r\n",
     ],
 )
-async def test_a_broken_startup_ends_the_connection(proxy, data):
+async def test_invalid_startup_closes_connection(proxy, data):
     caller = await proxy.open_wire()
     caller.send(data)
     answer = await caller.read_to_end()
@@ -110,7 +110,7 @@
     await wait_until(lambda: not proxy.listener.tasks)
 
 
-async def test_a_startup_that_does_not_come_is_given_up():
+async def test_incomplete_startup_times_out():
     async with open_proxy(proxy={"startup_timeout_s": 0.01}) as proxy:
         caller = await proxy.open_wire()
         caller.send(START[:10])
@@ -118,7 +118,7 @@
         await wait_until(lambda: not proxy.listener.tasks)
 
 
-async def test_a_caller_that_leaves_during_startup_leaves_nothing(proxy):
+async def test_caller_lost_during_startup_leaks_no_task_or_session(proxy):
     caller = await proxy.open_wire()
     caller.send(START[:10])
     await wait_until(lambda: proxy.listener.tasks)
@@ -128,7 +128,7 @@
     assert not proxy.sessions
 
 
-def test_options_are_read():
+def test_options_are_parsed():
     text = r"-c ebonyrack.token=ab\ c  --ebonyrack.max-age=5s"
     assert parse_options(text) == {
         "ebonyrack.token": "ab c",
--- a/ebonyrack/callers/statement.py
+++ b/ebonyrack/callers/statement.py
@@ -1,4 +1,4 @@
-"""Classification of statement texts, cached by text and by fingerprint."""
+"""Classifies statement texts, with caches by text and by fingerprint."""
 
 from __future__ import annotations
 
@@ -6,28 +6,28 @@
 
 import postgast
 
-from ebonyrack.callers.statement_kinds import UNSURE
+from ebonyrack.callers.statement_kinds import UNSHARED_WRITE
 from ebonyrack.callers.statement_kinds import Statement
 from ebonyrack.callers.statement_kinds import StatementKind
-from ebonyrack.callers.statement_kinds import refuse
+from ebonyrack.callers.statement_kinds import build_unsupported
 from ebonyrack.callers.statement_rules import classify_tree
 
 __all__ = ["Statement", "StatementCache", "StatementKind", "classify_statement"]
 
-# Parsing a longer text would hold up the event loop for too long.
+# Parsing a longer text would block the event loop for too long.
 MAXIMUM_TEXT_BYTES = 64 * 1024
-# Longer texts are looked up by fingerprint only, which bounds the cache's memory.
-CACHED_TEXT_CHARACTERS = 2048
-CACHED_TEXTS = 2048
-CACHED_FINGERPRINTS = 4096
+# Longer texts are cached by fingerprint only, to limit memory.
+MAXIMUM_CACHED_TEXT_CHARACTERS = 2048
+MAXIMUM_CACHED_TEXTS = 2048
+MAXIMUM_CACHED_FINGERPRINTS = 4096
 
 
 class StatementCache:
-    """Classified statements, by exact text and by fingerprint.
+    """LRU caches of classified statements, by exact text and by fingerprint.
 
     Attributes:
-        texts: Text to statement, the one used last at the end.
-        fingerprints: Fingerprint to statement, the one used last at the end.
+        texts: Statements by text, least recently used first.
+        fingerprints: Statements by fingerprint, least recently used first.
     """
 
     __slots__ = ("texts", "fingerprints")
@@ -37,7 +37,7 @@
         self.fingerprints: OrderedDict[str, Statement] = OrderedDict()
 
     def classify(self, sql: str) -> Statement:
-        """Return what is known about a text, parsing it if need be.
+        """Classify a text, which is parsed unless it is cached.
 
         Args:
             sql: Statement text.
@@ -50,14 +50,14 @@
             self.texts.move_to_end(sql)
             return statement
         statement = self.classify_by_fingerprint(sql)
-        if len(sql) <= CACHED_TEXT_CHARACTERS:
+        if len(sql) <= MAXIMUM_CACHED_TEXT_CHARACTERS:
             self.texts[sql] = statement
-            if len(self.texts) > CACHED_TEXTS:
+            if len(self.texts) > MAXIMUM_CACHED_TEXTS:
                 self.texts.popitem(last=False)
         return statement
 
     def classify_by_fingerprint(self, sql: str) -> Statement:
-        """Look a text up by its fingerprint, or parse it.
+        """Classify a text by its cached fingerprint, or else parse it.
 
         Args:
             sql: Statement text.
@@ -65,11 +65,13 @@
         Returns:
             The statement.
         """
-        # A character takes at most four bytes.
+        # A UTF-8 character has at most four bytes.
         if len(sql) > MAXIMUM_TEXT_BYTES // 4 and (
             len(sql.encode("utf-8", "replace")) > MAXIMUM_TEXT_BYTES
         ):
-            return refuse(f"the text is longer than {MAXIMUM_TEXT_BYTES} bytes")
+            return build_unsupported(
+                f"statement text exceeds {MAXIMUM_TEXT_BYTES} bytes"
+            )
         try:
             fingerprint = postgast.fingerprint(sql).hex
             statement = self.fingerprints.get(fingerprint)
@@ -78,25 +80,25 @@
                 return statement
             statement = classify_tree(postgast.parse(sql))
         except (postgast.PgQueryError, UnicodeEncodeError):
-            # The primary gives the error in its own words.
-            return UNSURE
-        if statement.is_literal_free:
+            # The statement is sent to the primary, which reports the error.
+            return UNSHARED_WRITE
+        if statement.is_shared:
             self.fingerprints[fingerprint] = statement
-            if len(self.fingerprints) > CACHED_FINGERPRINTS:
+            if len(self.fingerprints) > MAXIMUM_CACHED_FINGERPRINTS:
                 self.fingerprints.popitem(last=False)
         return statement
 
 
-CACHE = StatementCache()
+STATEMENT_CACHE = StatementCache()
 
 
 def classify_statement(sql: str) -> Statement:
-    """Classify a statement text; whatever is not surely a read is a write.
+    """Classify a statement text; a text not known to be a read is a write.
 
     Args:
         sql: Text of a simple query or of a Parse message.
 
     Returns:
-        What is known about it.
+        The statement.
     """
-    return CACHE.classify(sql)
+    return STATEMENT_CACHE.classify(sql)
--- a/ebonyrack/callers/statement_kinds.py
+++ b/ebonyrack/callers/statement_kinds.py
@@ -1,4 +1,4 @@
-"""Kinds of statements and what is known about one."""
+"""Kinds of statements and the result of classifying one."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 class StatementKind(StrEnum):
-    """How a statement is treated."""
+    """Kind of a statement, which decides how it is served."""
 
     READ = "read"
     WRITE = "write"
@@ -23,18 +23,18 @@
 
 @dataclass(frozen=True, slots=True)
 class Statement:
-    """What is known about a statement text.
+    """Classification of a statement text.
 
     Attributes:
-        kind: How it is treated.
+        kind: Kind of the statement.
         variable: Variable of SET and SHOW in lower case. For DISCARD one of `all`,
             `plans`, `sequences`, `temp`, `variables` (RESET ALL), `statements`
             (DEALLOCATE ALL), `statement` (DEALLOCATE of the name in `value`) or
-            `session` (the several statements by which a driver's pool resets it).
+            `session` (several statements with which a driver's pool resets a session).
         value: Value of SET; empty for RESET and SET TO DEFAULT.
         reason: Why the statement is not supported.
-        read_only: Whether BEGIN asks for a read-only transaction.
-        is_literal_free: Whether texts that differ only in literals are treated alike.
+        read_only: Whether BEGIN requests a read-only transaction.
+        is_shared: Whether it applies to all texts that differ only in literals.
     """
 
     kind: StatementKind
@@ -42,15 +42,15 @@
     value: str = ""
     reason: str = ""
     read_only: bool = False
-    is_literal_free: bool = False
+    is_shared: bool = False
 
 
-READ = Statement(StatementKind.READ, is_literal_free=True)
-WRITE = Statement(StatementKind.WRITE, is_literal_free=True)
-UNSURE = Statement(StatementKind.WRITE)
+READ = Statement(StatementKind.READ, is_shared=True)
+WRITE = Statement(StatementKind.WRITE, is_shared=True)
+UNSHARED_WRITE = Statement(StatementKind.WRITE)
 EMPTY = Statement(StatementKind.EMPTY)
 
 
-def refuse(reason: str) -> Statement:
-    """Build the entry of a statement that pooled connections can't serve."""
+def build_unsupported(reason: str) -> Statement:
+    """Build the classification of a statement unsupported on pooled connections."""
     return Statement(StatementKind.UNSUPPORTED, reason=reason)
--- a/ebonyrack/callers/statement_rules.py
+++ b/ebonyrack/callers/statement_rules.py
@@ -1,4 +1,4 @@
-"""Rules by which a parsed statement is classified."""
+"""Rules that classify parsed statements by their node type."""
 
 from __future__ import annotations
 
@@ -10,20 +10,20 @@
 from ebonyrack.callers.parse_tree import unwrap
 from ebonyrack.callers.statement_kinds import EMPTY
 from ebonyrack.callers.statement_kinds import READ
-from ebonyrack.callers.statement_kinds import UNSURE
+from ebonyrack.callers.statement_kinds import UNSHARED_WRITE
 from ebonyrack.callers.statement_kinds import WRITE
 from ebonyrack.callers.statement_kinds import Statement
 from ebonyrack.callers.statement_kinds import StatementKind
-from ebonyrack.callers.statement_kinds import refuse
-from ebonyrack.callers.tree_inspection import examine_tree
-from ebonyrack.callers.tree_inspection import read_function_name
+from ebonyrack.callers.statement_kinds import build_unsupported
+from ebonyrack.callers.tree_inspection import get_function_name
+from ebonyrack.callers.tree_inspection import inspect_tree
 from ebonyrack.core.registry import Registry
 
-# Bit of the parser for a cursor WITH HOLD.
+# Option bit of DeclareCursorStmt for WITH HOLD.
 CURSOR_OPTION_HOLD = 0x0020
 VARIABLE_PREFIX = "ebonyrack."
 PROXY_VARIABLES = frozenset({"application_name", "client_encoding"})
-# Upstream connections have fixed values of these; a session may set just those.
+# Upstream connections have fixed values of these; a session may set no other value.
 FIXED_VARIABLES = frozenset(
     """
     client_min_messages datestyle default_transaction_isolation
@@ -31,16 +31,16 @@
     standard_conforming_strings timezone transaction_isolation transaction_read_only
     """.split()
 )
-# The answers to these differ between primary and replica.
+# Their values differ between primary and replica.
 PRIMARY_VARIABLES = frozenset(
     {"transaction_read_only", "default_transaction_read_only", "in_hot_standby"}
 )
 SAVEPOINT_KINDS = frozenset(
     {"TRANS_STMT_SAVEPOINT", "TRANS_STMT_RELEASE", "TRANS_STMT_ROLLBACK_TO"}
 )
-# Kinds that may stand together in one text, which is one implicit transaction.
+# Kinds that may be combined in one text, which runs as one implicit transaction.
 COMBINABLE_KINDS = frozenset({StatementKind.READ, StatementKind.WRITE})
-# Fields of a SELECT that has nothing but its list of expressions.
+# Fields that are set in a SELECT of expressions without any clause.
 PLAIN_SELECT_FIELDS = frozenset({"target_list", "limit_option", "op"})
 
 Rule = Callable[[Any], Statement]
@@ -68,16 +68,19 @@
         if statement.kind is StatementKind.UNSUPPORTED:
             return statement
         if statement.kind not in COMBINABLE_KINDS:
-            return refuse(f"{statement.kind} together with other statements")
+            return build_unsupported(
+                f"{statement.kind} can't be combined with other statements"
+            )
     if all(statement.kind is StatementKind.READ for statement in statements):
         return READ
-    return WRITE if all(item.is_literal_free for item in statements) else UNSURE
+    return WRITE if all(item.is_shared for item in statements) else UNSHARED_WRITE
 
 
 def is_session_reset(node: Any) -> bool:
-    """Whether a statement only ends what a session may have left behind.
+    """Return whether a statement only resets session state.
 
-    Drivers' pools send several of these in one text when a connection comes back.
+    Connection pools of drivers send several of these in one text when a connection is
+    returned.
 
     Args:
         node: Statement node.
@@ -97,7 +100,7 @@
 
 
 def is_unlock_call(node: Any) -> bool:
-    """Whether a SELECT does nothing but call pg_advisory_unlock_all.
+    """Return whether a SELECT only calls pg_advisory_unlock_all.
 
     Args:
         node: SelectStmt node.
@@ -108,7 +111,7 @@
     if len(targets) != 1 or not targets[0].HasField("func_call"):
         return False
     call = targets[0].func_call
-    name = read_function_name(call)
+    name = get_function_name(call)
     return name == ("pg_advisory_unlock_all", True) and not call.args
 
 
@@ -124,41 +127,45 @@
     rule = STATEMENT_RULES.entries.get(type(node).__name__)
     if rule is not None:
         return rule(node)
-    return examine_tree(node, is_read=False)
+    return inspect_tree(node, is_read=False)
 
 
 @STATEMENT_RULES.register("SelectStmt")
 def classify_select(node: Any) -> Statement:
     """Classify SELECT, VALUES and TABLE."""
-    return examine_tree(node, is_read=True)
+    return inspect_tree(node, is_read=True)
 
 
 @STATEMENT_RULES.register("ExplainStmt")
 def classify_explain(node: Any) -> Statement:
     """Classify EXPLAIN by the statement that it explains."""
     query = unwrap(node.query)
-    return examine_tree(node, is_read=type(query).__name__ == "SelectStmt")
+    return inspect_tree(node, is_read=type(query).__name__ == "SelectStmt")
 
 
 @STATEMENT_RULES.register("TransactionStmt")
 def classify_transaction(node: Any) -> Statement:
-    """Classify transaction control."""
+    """Classify transaction control statements."""
     kind = pg_query_pb2.TransactionStmtKind.Name(node.kind)
     if node.chain:
-        return refuse("AND CHAIN keeps the connection after the transaction")
+        return build_unsupported(
+            "AND CHAIN needs the same connection after the transaction"
+        )
     if kind in ("TRANS_STMT_BEGIN", "TRANS_STMT_START"):
-        return Statement(StatementKind.BEGIN, read_only=asks_read_only(node.options))
+        return Statement(
+            StatementKind.BEGIN, read_only=requests_read_only(node.options)
+        )
     if kind == "TRANS_STMT_COMMIT":
         return Statement(StatementKind.COMMIT)
     if kind == "TRANS_STMT_ROLLBACK":
         return Statement(StatementKind.ROLLBACK)
     if kind in SAVEPOINT_KINDS:
-        return UNSURE
-    return refuse("two-phase commit outlives the connection")
+        return UNSHARED_WRITE
+    return build_unsupported("two-phase commit outlives the connection")
 
 
-def asks_read_only(options: Any) -> bool:
-    """Whether the options of BEGIN end up with READ ONLY.
+def requests_read_only(options: Any) -> bool:
+    """Return whether the options of BEGIN request READ ONLY; the last one counts.
 
     Args:
         options: DefElem nodes.
@@ -177,32 +184,34 @@
     name = node.name.lower()
     if kind == "VAR_RESET_ALL":
         return Statement(StatementKind.DISCARD, variable="variables")
-    is_kept = name.startswith(VARIABLE_PREFIX) or name in PROXY_VARIABLES
-    if is_kept and node.is_local:
-        return refuse(f"SET LOCAL of {name}")
+    is_proxy_variable = name.startswith(VARIABLE_PREFIX) or name in PROXY_VARIABLES
+    if is_proxy_variable and node.is_local:
+        return build_unsupported(f"SET LOCAL is not supported for {name}")
     if node.is_local or name == "transaction":
-        return UNSURE
-    if is_kept or name in FIXED_VARIABLES:
-        return Statement(StatementKind.SET_VARIABLE, name, read_value(node.args))
-    return refuse(f"{name} belongs to a session; use SET LOCAL in a transaction")
+        return UNSHARED_WRITE
+    if is_proxy_variable or name in FIXED_VARIABLES:
+        return Statement(StatementKind.SET_VARIABLE, name, format_value(node.args))
+    return build_unsupported(
+        f"{name} is a session setting; use SET LOCAL in a transaction"
+    )
 
 
-def read_value(arguments: Any) -> str:
-    """Return the value of SET as text.
+def format_value(arguments: Any) -> str:
+    """Return the value of a SET as text.
 
     Args:
         arguments: A_Const nodes.
     """
-    words = []
+    parts = []
     for argument in arguments:
         constant = argument.a_const
         if constant.HasField("ival"):
-            words.append(str(constant.ival.ival))
+            parts.append(str(constant.ival.ival))
         elif constant.HasField("fval"):
-            words.append(constant.fval.fval)
+            parts.append(constant.fval.fval)
         else:
-            words.append(constant.sval.sval)
-    return ", ".join(words)
+            parts.append(constant.sval.sval)
+    return ", ".join(parts)
 
 
 @STATEMENT_RULES.register("VariableShowStmt")
@@ -211,7 +220,9 @@
     name = node.name.lower()
     if name.startswith(VARIABLE_PREFIX) or name in PROXY_VARIABLES:
         return Statement(StatementKind.SHOW_VARIABLE, name)
-    return UNSURE if name in PRIMARY_VARIABLES else Statement(StatementKind.READ)
+    return (
+        UNSHARED_WRITE if name in PRIMARY_VARIABLES else Statement(StatementKind.READ)
+    )
 
 
 @STATEMENT_RULES.register("DiscardStmt")
@@ -224,7 +235,7 @@
 
 @STATEMENT_RULES.register("DeallocateStmt")
 def classify_deallocate(node: Any) -> Statement:
-    """Classify DEALLOCATE, by which drivers drop what they prepared."""
+    """Classify DEALLOCATE, with which drivers drop prepared statements."""
     if node.isall:
         return Statement(StatementKind.DISCARD, variable="statements")
     return Statement(StatementKind.DISCARD, variable="statement", value=node.name)
@@ -232,8 +243,8 @@
 
 @STATEMENT_RULES.register("DeclareCursorStmt")
 def classify_cursor(node: Any) -> Statement:
-    """Classify DECLARE: a cursor ends with its transaction, or is refused."""
+    """Classify DECLARE; only cursors that end with the transaction are supported."""
     if node.options & CURSOR_OPTION_HOLD:
-        return refuse("a cursor WITH HOLD outlives its transaction")
-    statement = examine_tree(node, is_read=False)
-    return UNSURE if statement is WRITE else statement
+        return build_unsupported("a cursor WITH HOLD outlives the transaction")
+    statement = inspect_tree(node, is_read=False)
+    return UNSHARED_WRITE if statement is WRITE else statement
--- a/ebonyrack/callers/statement_store.py
+++ b/ebonyrack/callers/statement_store.py
@@ -1,4 +1,4 @@
-"""The prepared statements that a session knows by the caller's names."""
+"""Store of a session's prepared statements."""
 
 from __future__ import annotations
 
@@ -19,8 +19,8 @@
     """Prepared statements of one session.
 
     Attributes:
-        statements: Statements by the caller's name for them.
-        statement_bytes: Their size.
+        statements: Prepared statements by the caller's name for them.
+        statement_bytes: Their total size.
     """
 
     __slots__ = ("statements", "statement_bytes")
@@ -30,7 +30,7 @@
         self.statement_bytes = 0
 
     def remove_closed(self, chunk: Chunk) -> None:
-        """Forget the statements that a chunk closes.
+        """Remove the statements that a chunk has closed.
 
         Args:
             chunk: A chunk that has run.
@@ -40,27 +40,27 @@
                 self.remove(item.message.statement)
 
     def add_prepared(self, chunk: Chunk) -> None:
-        """Keep the statements that a chunk has prepared.
+        """Add the statements that a chunk has prepared.
 
         Args:
-            chunk: A chunk that has run, perhaps not to its end.
+            chunk: A chunk that has run, perhaps only in part.
 
         Raises:
-            RequestError: UNSUPPORTED if the session has too many.
+            RequestError: UNSUPPORTED if a limit of the session is exceeded.
         """
         for step, name, prepared in chunk.definitions:
             if step.is_done:
                 self.add(name, prepared)
 
     def add(self, name: bytes, prepared: PreparedStatement) -> None:
-        """Keep a prepared statement.
+        """Add or replace a prepared statement.
 
         Args:
             name: The caller's name for it.
             prepared: The statement.
 
         Raises:
-            RequestError: UNSUPPORTED if the session has too many.
+            RequestError: UNSUPPORTED if a limit of the session is exceeded.
         """
         known = self.statements.get(name)
         added_bytes = len(prepared.body) - (0 if known is None else len(known.body))
@@ -68,13 +68,13 @@
             len(self.statements) >= MAXIMUM_STATEMENTS
             or self.statement_bytes + added_bytes > MAXIMUM_STATEMENT_BYTES
         ):
-            reason = "the session has too many or too long prepared statements"
+            reason = "the prepared statements of the session exceed their limits"
             raise RequestError(ErrorKind.UNSUPPORTED, reason)
         self.statement_bytes += added_bytes
         self.statements[name] = prepared
 
     def remove(self, name: bytes) -> None:
-        """Drop a prepared statement, if there is one of that name.
+        """Remove a prepared statement if it exists.
 
         Args:
             name: The caller's name for it.
@@ -84,6 +84,6 @@
             self.statement_bytes -= len(known.body)
 
     def clear(self) -> None:
-        """Drop all prepared statements."""
+        """Remove all prepared statements."""
         self.statements.clear()
         self.statement_bytes = 0
--- a/ebonyrack/callers/statement_test.py
+++ b/ebonyrack/callers/statement_test.py
@@ -113,7 +113,7 @@
     assert bool(found.reason) == (kind is StatementKind.UNSUPPORTED)
 
 
-def test_kinds_do_not_depend_on_what_was_cached():
+def test_kinds_do_not_depend_on_cache():
     cache = StatementCache()
     for sqls, kind in (
         (READS, StatementKind.READ),
@@ -157,7 +157,7 @@
     assert classify_statement(sql) == Statement(StatementKind(kind), variable, value)
 
 
-def test_literals_of_session_statements_are_not_mixed_up():
+def test_session_statements_are_not_shared_across_literals():
     for value in ("a", "b", "a"):
         assert classify_statement(f"SET ebonyrack.token = '{value}'").value == value
 
@@ -171,13 +171,13 @@
         ("ISOLATION LEVEL SERIALIZABLE, READ ONLY", True),
     ],
 )
-def test_begin_notes_read_only(options, read_only):
+def test_begin_read_only_is_detected(options, read_only):
     for verb in ("BEGIN", "START TRANSACTION"):
         found = classify_statement(f"{verb} {options}")
         assert (found.kind, found.read_only) == (StatementKind.BEGIN, read_only)
 
 
-def test_long_text_is_refused_without_parsing(monkeypatch):
+def test_long_text_is_rejected_without_parsing(monkeypatch):
     monkeypatch.setattr(statement, "MAXIMUM_TEXT_BYTES", 20)
     assert StatementCache().classify("SELECT 1").kind is StatementKind.READ
     found = StatementCache().classify("SELECT 1 -- " + "x" * 20)
@@ -185,8 +185,8 @@
 
 
 def test_caches_are_bounded(monkeypatch):
-    monkeypatch.setattr(statement, "CACHED_TEXTS", 3)
-    monkeypatch.setattr(statement, "CACHED_FINGERPRINTS", 2)
+    monkeypatch.setattr(statement, "MAXIMUM_CACHED_TEXTS", 3)
+    monkeypatch.setattr(statement, "MAXIMUM_CACHED_FINGERPRINTS", 2)
     cache = StatementCache()
     for number in range(10):
         assert cache.classify(f"SELECT c{number}").kind is StatementKind.READ
@@ -194,14 +194,14 @@
     assert (len(cache.texts), len(cache.fingerprints)) == (3, 2)
 
 
-def test_literals_share_one_entry():
+def test_texts_that_differ_in_literals_share_one_fingerprint_entry():
     cache = StatementCache()
     for number in range(10):
         cache.classify(f"SELECT * FROM slots WHERE id = {number}")
     assert (len(cache.texts), len(cache.fingerprints)) == (10, 1)
 
 
-def test_a_reset_that_does_more_is_refused():
+def test_session_reset_with_other_statements_is_rejected():
     for sql in (
         "SELECT pg_advisory_unlock_all() WHERE f(1); RESET ALL",
         "SELECT pg_advisory_unlock_all(), f(1); RESET ALL",
--- a/ebonyrack/callers/stream.py
+++ b/ebonyrack/callers/stream.py
@@ -1,4 +1,4 @@
-"""Protocol frames over one TCP connection from a caller."""
+"""PostgreSQL protocol frames over a caller's TCP connection."""
 
 from __future__ import annotations
 
@@ -27,47 +27,47 @@
 
 
 class CallerStream(ByteStream):
-    """Splits what a caller sends into frames and notes when it goes.
+    """Splits the bytes of a caller into frames and detects its disconnect.
 
     Attributes:
         is_lost: Whether the caller has closed or lost the connection.
-        is_finished: Whether the proxy has sent the end of the stream.
+        is_eof_sent: Whether the proxy has closed its sending side.
         on_connected: Called once with this stream when the caller has connected.
-        on_lost: Called when the connection has ended, or None.
+        on_lost: Called when the connection is lost, or None.
     """
 
-    __slots__ = ("is_lost", "is_finished", "on_connected", "on_lost")
+    __slots__ = ("is_lost", "is_eof_sent", "on_connected", "on_lost")
 
     def __init__(self, on_connected: Callable[[CallerStream], None]) -> None:
         super().__init__(READ_BUFFER_BYTES)
         self.is_lost = False
-        self.is_finished = False
+        self.is_eof_sent = False
         self.on_connected = on_connected
         self.on_lost: Callable[[], None] | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the transport and report the caller (called by asyncio)."""
+        """Store the transport and call `on_connected` (called by asyncio)."""
         super().connection_made(transport)
         assert self.transport is not None
         self.transport.set_write_buffer_limits(high=WRITE_BUFFER_BYTES)
         self.on_connected(self)
 
     def data_received(self, data: bytes) -> None:
-        """Keep arrived bytes until the end was sent (called by asyncio)."""
-        if not self.is_finished:
+        """Buffer received bytes unless EOF was sent (called by asyncio)."""
+        if not self.is_eof_sent:
             super().data_received(data)
 
     def eof_received(self) -> bool:
-        """Treat the end of the stream as a caller that has gone (by asyncio)."""
+        """Treat EOF as a disconnect (called by asyncio)."""
         self.mark_lost()
         return False
 
     def connection_lost(self, error: Exception | None) -> None:
-        """Note that the connection has ended (called by asyncio)."""
+        """Mark the connection as lost (called by asyncio)."""
         self.mark_lost()
 
     def mark_lost(self) -> None:
-        """Note the end of the connection once and wake whoever waits."""
+        """Mark the connection as lost, once, and wake waiting tasks."""
         if self.is_lost:
             return
         self.is_lost = True
@@ -76,54 +76,54 @@
             self.on_lost()
 
     def write(self, data: bytes | bytearray) -> None:
-        """Queue bytes for the caller; a caller that has gone gets nothing.
+        """Queue bytes for the caller; bytes for a lost connection are dropped.
 
         Args:
-            data: Whole frames.
+            data: Complete frames.
         """
         if not self.is_lost and self.transport is not None:
             self.transport.write(data)
 
     async def drain(self) -> None:
-        """Wait until the caller has taken most of what was queued."""
+        """Wait until the send buffer has room or the connection is lost."""
         while self.is_writing_paused and not self.is_lost:
             await self.wait_until_writable()
 
-    def finish(self) -> None:
-        """Send what is queued and the end of the stream; drop all that comes."""
-        self.is_finished = True
+    def send_eof(self) -> None:
+        """Send EOF after queued bytes and discard further received bytes."""
+        self.is_eof_sent = True
         self.buffer.clear()
         wake(self.data_waiter)
         if self.transport is None:
             return
-        # A caller that has just gone leaves a socket that can't be shut down.
+        # The socket can't be shut down if the caller has just disconnected.
         with contextlib.suppress(OSError):
             self.transport.write_eof()
 
-    async def linger(self) -> None:
-        """Wait until the caller has read the end of the stream and closes too.
+    async def wait_for_close(self) -> None:
+        """Wait until the caller closes the connection.
 
-        Closing earlier could reset the connection under a request on its way, and
-        the caller would not learn why.
+        Closing earlier could reset the connection if a request is in transit, and the
+        caller would lose the final error.
         """
         while not self.is_lost:
             await self.wait_for_bytes()
 
     def close(self) -> None:
-        """Send what is queued, then close."""
+        """Close the connection after sending queued bytes."""
         if self.transport is not None:
             self.transport.close()
 
     def abort(self) -> None:
-        """Close at once and drop what is queued."""
+        """Close the connection at once and drop queued bytes."""
         if self.transport is not None:
             self.transport.abort()
 
-    def take_frame(self, maximum_bytes: int) -> Message | None:
-        """Take the next whole frame that has arrived, or return None.
+    def pop_frame(self, maximum_bytes: int) -> Message | None:
+        """Remove and return the next complete frame, or None if there is none yet.
 
         Args:
-            maximum_bytes: Longest frame that is taken.
+            maximum_bytes: Maximum length of a frame.
 
         Raises:
             RequestError: BAD_REQUEST if the length is not valid or too large.
@@ -140,19 +140,19 @@
         return Message(kind, raw)
 
     async def read_frame(self, maximum_bytes: int) -> Message | None:
-        """Wait for the next whole frame.
+        """Wait for the next complete frame.
 
         Args:
-            maximum_bytes: Longest frame that is taken.
+            maximum_bytes: Maximum length of a frame.
 
         Returns:
-            The frame, or None if the caller has gone.
+            The frame, or None if the caller has disconnected.
 
         Raises:
             RequestError: BAD_REQUEST if the length is not valid or too large.
         """
         while True:
-            frame = self.take_frame(maximum_bytes)
+            frame = self.pop_frame(maximum_bytes)
             if frame is not None:
                 return frame
             if not await self.wait_for_data():
@@ -162,7 +162,7 @@
         """Wait for a startup packet, which has no kind byte.
 
         Returns:
-            The packet with its length field, or None if the caller has gone.
+            The packet with its length field, or None if the caller has disconnected.
 
         Raises:
             RequestError: BAD_REQUEST if the length is not valid.
@@ -179,23 +179,23 @@
                 return None
 
     async def wait_for_data(self) -> bool:
-        """Read on and wait until bytes arrive.
+        """Resume reading and wait until bytes arrive.
 
         Returns:
-            False if the connection has ended instead.
+            False if the connection was lost or EOF was sent instead.
         """
-        if self.is_lost or self.is_finished:
+        if self.is_lost or self.is_eof_sent:
             return False
         await self.wait_for_bytes()
-        return bool(self.buffer) or not (self.is_lost or self.is_finished)
+        return bool(self.buffer) or not (self.is_lost or self.is_eof_sent)
 
 
 def check_length(length: int, maximum_bytes: int) -> None:
-    """Refuse a frame whose length can't be right.
+    """Reject a frame whose length is invalid or too large.
 
     Args:
         length: Length field of the frame.
-        maximum_bytes: Longest frame allowed.
+        maximum_bytes: Maximum length of a frame.
 
     Raises:
         RequestError: BAD_REQUEST.
--- a/ebonyrack/callers/token.py
+++ b/ebonyrack/callers/token.py
@@ -1,4 +1,4 @@
-"""Session tokens: the positions that a session has seen, signed by the proxies."""
+"""Session tokens: log positions that a session has seen, signed by the proxy."""
 
 from __future__ import annotations
 
@@ -15,16 +15,16 @@
 
 VERSION_PREFIX = "1."
 SIGNATURE_BYTES = 16
-# Bounds the work for a token that anyone may send.
-MAXIMUM_CHARACTERS = 4096
-MAXIMUM_NUMBER = 2**63 - 1
+# Limits the work for tokens of unknown origin.
+MAXIMUM_TOKEN_CHARACTERS = 4096
+MAXIMUM_POSITION_NUMBER = 2**63 - 1
 
 
 def sign_body(key: bytes, body: bytes) -> bytes:
-    """Return the signature of a token's body.
+    """Return the signature of a token body.
 
     Args:
-        key: Key that all proxies share.
+        key: Signing key shared by all proxies.
         body: Packed positions.
     """
     digest = hmac.new(key, VERSION_PREFIX.encode() + body, hashlib.sha256).digest()
@@ -32,11 +32,11 @@
 
 
 def build_token(key: bytes, positions: dict[str, LogPosition]) -> str:
-    """Build the token of a session.
+    """Build a session token.
 
     Args:
-        key: Key that all proxies share.
-        positions: Group name to the position that the session has seen.
+        key: Signing key shared by all proxies.
+        positions: Positions that the session has seen, by group name.
 
     Returns:
         URL-safe text without padding.
@@ -51,29 +51,31 @@
 
 
 def read_token(key: bytes, text: str) -> dict[str, LogPosition]:
-    """Check a token and return its positions.
+    """Verify a token and return its positions.
 
     Args:
-        key: Key that all proxies share.
-        text: What the caller gave.
+        key: Signing key shared by all proxies.
+        text: The token sent by the caller.
 
     Returns:
-        Group name to position.
+        Positions by group name.
 
     Raises:
-        RequestError: BAD_TOKEN if the token was not built with the key.
+        RequestError: BAD_TOKEN if the token is not valid.
     """
-    if not text.startswith(VERSION_PREFIX) or len(text) > MAXIMUM_CHARACTERS:
-        raise RequestError(ErrorKind.BAD_TOKEN, "not a token of this proxy")
-    data = decode_text(text.removeprefix(VERSION_PREFIX))
+    if not text.startswith(VERSION_PREFIX) or len(text) > MAXIMUM_TOKEN_CHARACTERS:
+        raise RequestError(
+            ErrorKind.BAD_TOKEN, "unknown token version or token too long"
+        )
+    data = decode_base64(text.removeprefix(VERSION_PREFIX))
     signature, body = data[:SIGNATURE_BYTES], data[SIGNATURE_BYTES:]
     if not hmac.compare_digest(signature, sign_body(key, body)):
         raise RequestError(ErrorKind.BAD_TOKEN, "the signature does not match")
-    return read_body(body)
+    return unpack_positions(body)
 
 
-def decode_text(text: str) -> bytes:
-    """Decode the text of a token.
+def decode_base64(text: str) -> bytes:
+    """Decode the base64 text of a token.
 
     Args:
         text: URL-safe text without padding.
@@ -82,7 +84,7 @@
         Signature and body.
 
     Raises:
-        RequestError: BAD_TOKEN if it is not in the form that `build_token` gives.
+        RequestError: BAD_TOKEN if the text is not valid base64.
     """
     padded = text + "=" * (-len(text) % 4)
     try:
@@ -92,24 +94,29 @@
     return data
 
 
-def read_body(body: bytes) -> dict[str, LogPosition]:
-    """Read the positions of a body whose signature matched.
+def unpack_positions(body: bytes) -> dict[str, LogPosition]:
+    """Unpack the positions from a body whose signature was verified.
 
     Args:
         body: Packed positions.
 
     Returns:
-        Group name to position.
+        Positions by group name.
 
     Raises:
-        RequestError: BAD_TOKEN if another version of the proxy packed it.
+        RequestError: BAD_TOKEN if another version of the proxy packed the body.
     """
     positions: dict[str, LogPosition] = {}
     try:
         for group, term, offset in msgpack.unpackb(body):
-            if not (0 <= term <= MAXIMUM_NUMBER and 0 <= offset <= MAXIMUM_NUMBER):
-                raise ValueError("number out of range")
+            if not (
+                0 <= term <= MAXIMUM_POSITION_NUMBER
+                and 0 <= offset <= MAXIMUM_POSITION_NUMBER
+            ):
+                raise ValueError("term or offset out of range")
             positions[str(group)] = LogPosition(int(term), int(offset))
     except (ValueError, TypeError, msgpack.UnpackException) as error:
-        raise RequestError(ErrorKind.BAD_TOKEN, "positions not valid") from error
+        raise RequestError(
+            ErrorKind.BAD_TOKEN, "the positions are not valid"
+        ) from error
     return positions
--- a/ebonyrack/callers/token_test.py
+++ b/ebonyrack/callers/token_test.py
@@ -2,7 +2,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from ebonyrack.callers.token import MAXIMUM_CHARACTERS
+from ebonyrack.callers.token import MAXIMUM_TOKEN_CHARACTERS
 from ebonyrack.callers.token import build_token
 from ebonyrack.callers.token import read_token
 from ebonyrack.core.errors import ErrorKind
@@ -17,16 +17,18 @@
 
 
 @given(POSITIONS)
-def test_token_is_read_back(positions):
+def test_token_round_trip(positions):
     assert read_token(KEY, build_token(KEY, positions)) == positions
 
 
 @given(POSITIONS, st.data())
-def test_changed_token_is_refused(positions, data):
+def test_modified_token_is_rejected(positions, data):
     token = build_token(KEY, positions)
-    place = data.draw(st.integers(0, len(token) - 1))
-    letter = data.draw(st.characters(codec="ascii").filter(lambda c: c != token[place]))
-    changed = token[:place] + letter + token[place + 1 :]
+    index = data.draw(st.integers(0, len(token) - 1))
+    character = data.draw(
+        st.characters(codec="ascii").filter(lambda c: c != token[index])
+    )
+    changed = token[:index] + character + token[index + 1 :]
     try:
         assert read_token(KEY, changed) == positions
     except RequestError as error:
@@ -34,18 +36,20 @@
 
 
 @given(st.text(max_size=100))
-def test_any_text_is_read_or_refused(text):
+def test_arbitrary_text_is_rejected(text):
     with pytest.raises(RequestError) as caught:
         read_token(KEY, "1." + text)
     assert caught.value.kind is ErrorKind.BAD_TOKEN
 
 
-@pytest.mark.parametrize("text", ["", "1.", "2.AAAA", "1." + "A" * MAXIMUM_CHARACTERS])
-def test_other_forms_are_refused(text):
+@pytest.mark.parametrize(
+    "text", ["", "1.", "2.AAAA", "1." + "A" * MAXIMUM_TOKEN_CHARACTERS]
+)
+def test_malformed_token_is_rejected(text):
     with pytest.raises(RequestError):
         read_token(KEY, text)
 
 
-def test_token_of_another_key_is_refused():
+def test_token_signed_with_another_key_is_rejected():
     with pytest.raises(RequestError, match="signature"):
         read_token(KEY, build_token(b"other", {"a": LogPosition(1, 2)}))
--- a/ebonyrack/callers/transaction_status.py
+++ b/ebonyrack/callers/transaction_status.py
@@ -1,4 +1,4 @@
-"""Transaction statuses as ReadyForQuery names them."""
+"""Transaction status values of ReadyForQuery."""
 
 IDLE = "I"
 OPEN = "T"
--- a/ebonyrack/callers/tree_inspection.py
+++ b/ebonyrack/callers/tree_inspection.py
@@ -1,4 +1,4 @@
-"""What in a statement makes it a write, or more than a pooled connection allows."""
+"""Inspects parse trees for writes and for features that need a session."""
 
 from __future__ import annotations
 
@@ -10,10 +10,10 @@
 from ebonyrack.callers.read_functions import RESERVED_FUNCTION_PREFIX
 from ebonyrack.callers.read_functions import SESSION_FUNCTIONS
 from ebonyrack.callers.statement_kinds import READ
-from ebonyrack.callers.statement_kinds import UNSURE
+from ebonyrack.callers.statement_kinds import UNSHARED_WRITE
 from ebonyrack.callers.statement_kinds import WRITE
 from ebonyrack.callers.statement_kinds import Statement
-from ebonyrack.callers.statement_kinds import refuse
+from ebonyrack.callers.statement_kinds import build_unsupported
 
 WRITING_NODES = frozenset(
     {
@@ -26,51 +26,51 @@
     }
 )
 UNSUPPORTED_NODES = {
-    "ExecuteStmt": "prepared statements by SQL belong to a session",
-    "PrepareStmt": "prepared statements by SQL belong to a session",
-    "CopyStmt": "COPY is not relayed",
-    "ListenStmt": "notifications belong to a session",
-    "UnlistenStmt": "notifications belong to a session",
-    "NotifyStmt": "notifications belong to a session",
+    "ExecuteStmt": "SQL-level prepared statements are bound to a server session",
+    "PrepareStmt": "SQL-level prepared statements are bound to a server session",
+    "CopyStmt": "COPY is not supported",
+    "ListenStmt": "notifications are bound to a server session",
+    "UnlistenStmt": "notifications are bound to a server session",
+    "NotifyStmt": "notifications are bound to a server session",
     "LoadStmt": "LOAD changes the session",
 }
 
 
-def examine_tree(node: Any, is_read: bool) -> Statement:
-    """Look at every node of a statement for what makes it a write or unsupported.
+def inspect_tree(node: Any, is_read: bool) -> Statement:
+    """Classify a statement by its nodes as a read, a write or unsupported.
 
     Args:
         node: Statement node.
-        is_read: Whether it is a read unless a node says otherwise.
+        is_read: Whether it is a read if no node makes it a write.
 
     Returns:
         The statement.
     """
-    is_literal_free = True
+    is_shared = True
     for child in iterate_nodes(node):
         kind = type(child).__name__
         if kind in WRITING_NODES:
             is_read = False
         elif kind == "RangeVar" and is_temporary(child):
-            return refuse("temporary tables belong to a session")
+            return build_unsupported("temporary tables are bound to a server session")
         elif kind in UNSUPPORTED_NODES:
-            return refuse(UNSUPPORTED_NODES[kind])
+            return build_unsupported(UNSUPPORTED_NODES[kind])
         elif kind == "A_Expr":
             is_read = is_read and is_read_operator(child)
         elif kind == "FuncCall":
-            name, is_standard = read_function_name(child)
-            reason = find_function_fault(name, child)
+            name, is_standard = get_function_name(child)
+            reason = find_function_restriction(name, child)
             if reason:
-                return refuse(reason)
-            is_literal_free = is_literal_free and name != "set_config"
+                return build_unsupported(reason)
+            is_shared = is_shared and name != "set_config"
             is_read = is_read and is_standard and name in READ_FUNCTIONS
     if is_read:
         return READ
-    return WRITE if is_literal_free else UNSURE
+    return WRITE if is_shared else UNSHARED_WRITE
 
 
 def is_temporary(table: Any) -> bool:
-    """Whether a table reference names a temporary table.
+    """Return whether a table reference names a temporary table.
 
     Args:
         table: RangeVar node.
@@ -79,7 +79,7 @@
 
 
 def is_read_operator(expression: Any) -> bool:
-    """Whether an operator is known not to write.
+    """Return whether an operator is known not to write.
 
     Args:
         expression: A_Expr node.
@@ -90,8 +90,8 @@
     return names[-1] in READ_OPERATORS
 
 
-def read_function_name(call: Any) -> tuple[str, bool]:
-    """Return a function's name and whether it is in no schema of the callers'.
+def get_function_name(call: Any) -> tuple[str, bool]:
+    """Return a function's name and whether it may be a built-in function.
 
     Args:
         call: FuncCall node.
@@ -100,8 +100,8 @@
     return names[-1], len(names) == 1 or names[0] == "pg_catalog"
 
 
-def find_function_fault(name: str, call: Any) -> str:
-    """Say why a function can't be called over a pooled connection.
+def find_function_restriction(name: str, call: Any) -> str:
+    """Return why a function can't be called over a pooled connection.
 
     Args:
         name: Name of the function.
@@ -113,14 +113,14 @@
     if name.startswith(RESERVED_FUNCTION_PREFIX):
         return f"function {name} is reserved for the proxy"
     if name in SESSION_FUNCTIONS:
-        return f"function {name} belongs to a session"
+        return f"function {name} is bound to a server session"
     if name == "set_config" and not is_local_setting(call):
         return "set_config changes the session unless its third argument is true"
     return ""
 
 
 def is_local_setting(call: Any) -> bool:
-    """Whether a call of set_config is surely for one transaction only.
+    """Return whether a call of set_config is certainly limited to the transaction.
 
     Args:
         call: FuncCall node of set_config.
--- a/ebonyrack/callers/variables.py
+++ b/ebonyrack/callers/variables.py
@@ -1,4 +1,4 @@
-"""Session variables that the proxy keeps for a caller."""
+"""Session variables that the proxy keeps for each caller."""
 
 from __future__ import annotations
 
@@ -22,11 +22,11 @@
 REPLAYED = "ebonyrack.replayed"
 APPLICATION_NAME = "application_name"
 
-DURATION = re.compile(r"(\d+(?:\.\d+)?)\s*(ms|s|min|h)?")
+DURATION_PATTERN = re.compile(r"(\d+(?:\.\d+)?)\s*(ms|s|min|h)?")
 SECONDS_OF_UNIT = {"ms": 0.001, "s": 1.0, "min": 60.0, "h": 3600.0}
 MAXIMUM_KEY_CHARACTERS = 200
 
-# Values with which upstream connections are opened; a caller may set just these.
+# Values that a caller may set; upstream connections are opened with the first one.
 KNOWN_SETTINGS: dict[str, tuple[str, ...]] = {
     "client_encoding": ("UTF8", "utf-8", "unicode"),
     "client_min_messages": ("notice", "warning"),
@@ -49,19 +49,19 @@
 
 
 class SessionVariables:
-    """What a session has set, and the positions that it must see.
+    """Variables of a session, and the positions that its reads must have reached.
 
     Attributes:
         group: Name of the session's database group.
         token_key: Key that signs tokens.
-        token_position: Position from a token that the caller handed over, or None.
+        token_position: Position of the group from the caller's token, or None.
         own_writes: Position of the last write acknowledged in this session.
         wrote_at_s: Monotonic time of that acknowledgement, or None.
         other_positions: Positions of other groups from the caller's token.
-        maximum_age_s: Age that reads may have, in seconds, or None.
-        idempotency_key: Key for the next transaction, or an empty string.
-        served_by: Name and role of the upstream that served last.
-        application_name: Name that the caller gave itself.
+        maximum_age_s: Maximum staleness of reads, in seconds, or None.
+        idempotency_key: Idempotency key of the next transaction, or an empty string.
+        served_by: Name and role of the upstream that served the last request.
+        application_name: Application name given by the caller.
     """
 
     __slots__ = (
@@ -97,8 +97,8 @@
             value: Its value.
 
         Raises:
-            RequestError: BAD_TOKEN, or UNSUPPORTED if the variable or the value
-                can't be kept over pooled connections.
+            RequestError: BAD_TOKEN, or UNSUPPORTED if the variable or the value is not
+                available over pooled connections.
         """
         if name == TOKEN:
             self.set_token(value)
@@ -112,10 +112,10 @@
             check_known_setting(name, value)
 
     def set_token(self, value: str) -> None:
-        """Take over the positions of a token; an empty one forgets them.
+        """Replace the positions by those of a token; an empty one clears them.
 
         Args:
-            value: The token.
+            value: The token, or an empty string.
 
         Raises:
             RequestError: BAD_TOKEN.
@@ -125,7 +125,7 @@
         self.other_positions = positions or None
 
     def set_idempotency_key(self, value: str) -> None:
-        """Keep a key for the next transaction.
+        """Set the idempotency key of the next transaction.
 
         Args:
             value: The key, or an empty string for none.
@@ -134,18 +134,18 @@
             RequestError: UNSUPPORTED if the key is too long.
         """
         if len(value) > MAXIMUM_KEY_CHARACTERS:
-            reason = f"idempotency key of {len(value)} characters"
+            reason = f"idempotency key is too long: {len(value)} characters"
             raise RequestError(ErrorKind.UNSUPPORTED, reason)
         self.idempotency_key = value
 
     def reset(self, name: str) -> None:
-        """Set a variable back to its default.
+        """Reset a variable to its default.
 
         Args:
             name: Name in lower case, or `all`.
 
         Raises:
-            RequestError: UNSUPPORTED if the variable is not known.
+            RequestError: UNSUPPORTED if the variable is unknown.
         """
         if name == "all":
             self.maximum_age_s = None
@@ -165,7 +165,7 @@
             name: Name in lower case.
 
         Raises:
-            RequestError: UNSUPPORTED if the variable is not known.
+            RequestError: UNSUPPORTED if the variable is unknown.
         """
         if name == TOKEN:
             return self.build_token()
@@ -183,7 +183,7 @@
         raise RequestError(ErrorKind.UNSUPPORTED, f"SHOW {name}")
 
     def record_write(self, position: LogPosition) -> None:
-        """Keep the position of an acknowledged write.
+        """Record the position and time of an acknowledged write.
 
         Args:
             position: Position of the commit.
@@ -192,41 +192,41 @@
         self.wrote_at_s = now_s()
 
     def build_token(self) -> str:
-        """Build the token of the session, empty if it has no position to keep."""
+        """Build the session token, which is empty if there is no position."""
         positions = dict(self.other_positions or {})
-        own = max(self.own_writes, self.token_position or LOG_START)
-        if own > LOG_START:
-            positions[self.group] = own
+        position = max(self.own_writes, self.token_position or LOG_START)
+        if position > LOG_START:
+            positions[self.group] = position
         return build_token(self.token_key, positions) if positions else ""
 
 
 def parse_duration(text: str) -> float | None:
-    """Read a duration such as `5s`; a number alone is in milliseconds.
+    """Parse a duration such as `5s`; a number without unit is in milliseconds.
 
     Args:
-        text: The duration; empty or 0 stands for none.
+        text: The duration; empty or 0 means none.
 
     Returns:
         Seconds, or None.
 
     Raises:
-        RequestError: UNSUPPORTED if the text has another form.
+        RequestError: UNSUPPORTED if the text is not a duration.
     """
     text = text.strip()
     if not text:
         return None
-    match = DURATION.fullmatch(text)
+    match = DURATION_PATTERN.fullmatch(text)
     if match is None:
-        raise RequestError(ErrorKind.UNSUPPORTED, f"not a duration: {text!r}")
+        raise RequestError(ErrorKind.UNSUPPORTED, f"invalid duration: {text!r}")
     return float(match[1]) * SECONDS_OF_UNIT[match[2] or "ms"] or None
 
 
 def check_known_setting(name: str, value: str) -> None:
-    """Accept a setting only with a value that all pooled connections have.
+    """Reject a setting or value that pooled connections don't have.
 
     Args:
         name: Name in lower case.
-        value: The value asked for.
+        value: The requested value.
 
     Raises:
         RequestError: UNSUPPORTED.
@@ -234,8 +234,8 @@
     allowed = KNOWN_SETTINGS.get(name)
     if allowed is None:
         raise RequestError(ErrorKind.UNSUPPORTED, f"SET {name}")
-    wanted = value.strip().strip("'").lower()
-    if wanted not in ("", "default") and wanted not in [
-        word.lower() for word in allowed
+    normalized = value.strip().strip("'").lower()
+    if normalized not in ("", "default") and normalized not in [
+        spelling.lower() for spelling in allowed
     ]:
         raise RequestError(ErrorKind.UNSUPPORTED, f"SET {name} to {value!r}")
--- a/ebonyrack/callers/watchdog.py
+++ b/ebonyrack/callers/watchdog.py
@@ -1,4 +1,4 @@
-"""Ends what sessions have waited for too long."""
+"""Watchdog that enforces the time limits of sessions' waits."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 async def watch_sessions(sessions: dict[int, CallerSession]) -> None:
-    """Check all sessions again and again.
+    """Check all sessions periodically.
 
     One task for all sessions costs less than a timer for each message.
 
@@ -37,7 +37,7 @@
 
     Args:
         sessions: The sessions.
-        at_s: The present monotonic time, in seconds.
+        at_s: Current monotonic time, in seconds.
     """
     for session in tuple(sessions):
         if session.connection is not None:
@@ -45,45 +45,45 @@
 
 
 def check_session(session: CallerSession, waited_s: float) -> None:
-    """End the wait of a session that holds a connection, if it is over its limit.
+    """End the wait of a session that holds a connection if it exceeds its limit.
 
     Args:
         session: The session.
-        waited_s: Seconds that its present wait has lasted.
+        waited_s: Duration of the current wait, in seconds.
     """
     try:
         section = session.group.section
     except RequestError:
-        # The group has left the document; its upstreams close the connections.
+        # The group was removed from the document; its upstreams close the connections.
         return
     if session.phase is SessionPhase.UPSTREAM and waited_s > section.answer_wait_s:
-        log_end(session, "answer_wait", waited_s)
+        log_timeout(session, "answer_wait", waited_s)
         assert session.connection is not None
         session.connection.close()
     elif (
         session.phase is SessionPhase.IDLE and waited_s > section.idle_in_transaction_s
     ):
-        log_end(session, "idle_in_transaction", waited_s)
+        log_timeout(session, "idle_in_transaction", waited_s)
         session.transaction.expire()
     elif (
         session.phase is SessionPhase.CALLER
         and waited_s > section.idle_in_transaction_s
     ):
-        log_end(session, "caller_takes_no_answer", waited_s)
+        log_timeout(session, "answer_not_read", waited_s)
         session.stream.abort()
 
 
-def log_end(session: CallerSession, reason: str, waited_s: float) -> None:
-    """Log that a wait was ended.
+def log_timeout(session: CallerSession, reason: str, waited_s: float) -> None:
+    """Log that a wait exceeded its limit.
 
     Args:
         session: The session.
-        reason: What it waited for.
-        waited_s: Seconds that it has waited.
+        reason: Kind of the wait.
+        waited_s: Duration of the wait, in seconds.
     """
     logger.bind(
         session=session.number,
         group=session.identity.group,
         reason=reason,
         waited_s=round(waited_s, 3),
-    ).warning("wait_ended")
+    ).warning("wait_limit_exceeded")
