--- a/ebonyrack/callers/variables.py
+++ b/ebonyrack/callers/variables.py
@@ -26,7 +26,7 @@
 SECONDS_OF_UNIT = {"ms": 0.001, "s": 1.0, "min": 60.0, "h": 3600.0}
 MAXIMUM_KEY_CHARACTERS = 200
 
-# Values that a caller may set; upstream connections are opened with the first one.
+# Values of upstream connections; a caller may set no others. SHOW reports the first.
 KNOWN_SETTINGS: dict[str, tuple[str, ...]] = {
     "client_encoding": ("UTF8", "utf-8", "unicode"),
     "client_min_messages": ("notice", "warning"),
