--- a/ebonyrack/callers/chunk.py
+++ b/ebonyrack/callers/chunk.py
@@ -38,11 +38,11 @@
 
 @dataclass(frozen=True, slots=True)
 class ChunkItem:
-    """One message and the prepared statement that it is about.
+    """A message and the prepared statement that it refers to.
 
     Attributes:
         message: The message.
-        prepared: The statement, or None if the session knows none of that name.
+        prepared: The statement, or None if the session has none of that name.
     """
 
     message: PipelineMessage
@@ -55,7 +55,7 @@
 
     Attributes:
         items: The messages.
-        definitions: Steps that define a statement, with its name in the session.
+        definitions: Step, name in the session and statement of each Parse.
     """
 
     items: list[ChunkItem] = field(default_factory=list)
@@ -65,10 +65,9 @@
 
     @property
     def statement(self) -> Statement:
-        """What the messages together need: a read only if all they execute is one.
+        """Statement that stands for the chunk: a read if it executes only reads.
 
-        A statement that is only prepared or described changes nothing, and any
-        upstream can tell about it.
+        Preparing or describing a statement changes nothing, so any upstream can do it.
         """
         for item in self.items:
             is_read = (
@@ -81,7 +80,7 @@
 
     @property
     def uses_portals(self) -> bool:
-        """Whether anything is bound or executed, which ends with its transaction."""
+        """Whether it has a Bind or Execute; portals end with their transaction."""
         return any(item.message.kind in (b"B", b"E") for item in self.items)
 
     @property
@@ -95,7 +94,7 @@
     def render(self, connection: UpstreamConnection) -> Exchange:
         """Build the exchange for a connection.
 
-        Statements that the connection does not know are prepared on the way.
+        Statements that are not prepared on the connection yet are prepared first.
 
         Args:
             connection: The connection that will serve the messages.
@@ -113,10 +112,10 @@
 
     @property
     def answer_format(self) -> bytes:
-        """Digest of what is executed and of how its answer is described and laid out.
+        """Digest of the executed statements and of the layout of their answers.
 
-        Whether a statement is parsed along with it or was prepared before makes no
-        difference.
+        It doesn't depend on whether a statement is parsed in this chunk or was
+        prepared before.
         """
         digest = hashlib.blake2b(digest_size=ANSWER_FORMAT_BYTES)
         for item in self.items:
@@ -131,11 +130,12 @@
         return digest.digest()
 
     def build_replay(self, tags: Sequence[str], frames: Sequence[bytes] = ()) -> bytes:
-        """Build the answer from the record of an earlier run.
+        """Build the answer from what was recorded for an earlier run.
 
         Args:
             tags: Command tag of each Execute.
-            frames: Recorded answers to each Describe and Execute, instead of tags.
+            frames: Recorded answers to each Describe and Execute, which replace the
+                tags if there are any.
 
         Returns:
             The frames.
--- a/ebonyrack/callers/chunk_renderer.py
+++ b/ebonyrack/callers/chunk_renderer.py
@@ -1,4 +1,4 @@
-"""Frames and steps of a part of a pipeline for one upstream connection."""
+"""Renders a chunk of a pipeline as frames and steps for one upstream connection."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
     from ebonyrack.callers.prepared import PreparedStatement
     from ebonyrack.upstreams.connection import UpstreamConnection
 
-# Statements that one upstream connection keeps prepared.
+# Prepared statements kept on one upstream connection.
 MAXIMUM_PREPARED = 256
 
 
@@ -29,10 +29,10 @@
     Attributes:
         connection: The connection.
         chunk: The chunk.
-        data: Frames so far.
-        steps: Steps of their answers.
-        parsed_names: Names that the frames so far prepare.
-        unnamed: The unnamed statement as it stands on the connection, or None.
+        data: Frames built so far.
+        steps: Expected steps of their answers.
+        parsed_names: Names of the statements that these frames prepare.
+        unnamed: The unnamed statement that these frames prepare, or None.
     """
 
     __slots__ = ("connection", "chunk", "data", "steps", "parsed_names", "unnamed")
@@ -46,7 +46,7 @@
         self.unnamed: PreparedStatement | None = None
 
     def evict_statements(self) -> None:
-        """Close the statements used longest ago, if the connection has many."""
+        """Close the least recently used statements if the connection has too many."""
         prepared = self.connection.prepared
         while len(prepared) >= MAXIMUM_PREPARED:
             name, _ = prepared.popitem(last=False)
@@ -79,7 +79,7 @@
         self.steps.append(RELAYED)
 
     def add_parse(self, item: ChunkItem) -> None:
-        """Add a Parse, or its answer if the connection knows the statement.
+        """Add a Parse, or a local answer if the statement is already prepared.
 
         Args:
             item: The message with its statement.
@@ -94,7 +94,7 @@
         self.chunk.definitions.append((step, item.message.statement, prepared))
 
     def ensure_prepared(self, prepared: PreparedStatement) -> None:
-        """Prepare a statement unless the connection knows it.
+        """Prepare a statement unless it is already prepared.
 
         Args:
             prepared: The statement.
@@ -103,13 +103,13 @@
             self.steps.append(self.add_parse_frame(prepared, Completion.SWALLOW))
 
     def is_prepared(self, prepared: PreparedStatement) -> bool:
-        """Tell whether a statement is prepared at this point.
+        """Return whether a statement is prepared at this point.
 
         Args:
             prepared: The statement.
 
         Returns:
-            Whether a Bind may follow at once.
+            Whether a Bind may follow without a Parse.
         """
         if not prepared.upstream_name:
             return self.unnamed is prepared
--- a/ebonyrack/callers/chunk_replay.py
+++ b/ebonyrack/callers/chunk_replay.py
@@ -1,4 +1,4 @@
-"""Answers to the messages of a pipeline that no upstream is asked for."""
+"""Answers to pipeline messages that the proxy builds without an upstream."""
 
 from __future__ import annotations
 
@@ -28,12 +28,12 @@
     b"C": CLOSE_COMPLETE,
     b"D": NO_DATA,
 }
-# Kinds of messages whose answer is recorded, and the kinds of frames that end it.
+# Message kinds whose answers are recorded, with the frame kinds that end an answer.
 ANSWER_END_KINDS = {b"D": frozenset({b"T", b"n"}), b"E": frozenset({b"C", b"I", b"s"})}
 
 
 def build_answer_from_tags(items: list[ChunkItem], tags: deque[str]) -> bytes:
-    """Build the answer to commands that answer no rows.
+    """Build the answer to commands that return no rows.
 
     Args:
         items: The messages.
@@ -66,12 +66,12 @@
     """
     answer = bytearray()
     for item in items:
-        last_kinds = ANSWER_END_KINDS.get(item.message.kind)
-        if last_kinds is None:
+        end_kinds = ANSWER_END_KINDS.get(item.message.kind)
+        if end_kinds is None:
             answer += LOCAL_ANSWERS[item.message.kind]
             continue
         frame = b""
-        while frame[:1] not in last_kinds:
+        while frame[:1] not in end_kinds:
             frame = frames.popleft()
             answer += frame
     return bytes(answer)
--- a/ebonyrack/callers/claim.py
+++ b/ebonyrack/callers/claim.py
@@ -1,4 +1,4 @@
-"""The claim of an idempotency key by a session, in its transaction."""
+"""Claims an idempotency key in a session's transaction."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
     """Begin a transaction and claim an idempotency key in it, in one round trip.
 
     Args:
-        session: The session, which holds a connection of the primary.
+        session: The session, which holds a connection to the primary.
         key: The key.
         begin: Statement that begins the transaction.
 
--- a/ebonyrack/callers/commit.py
+++ b/ebonyrack/callers/commit.py
@@ -1,4 +1,4 @@
-"""Commits: sent once, answered when a majority holds what was written or read."""
+"""Commits: sent once, answered when a majority holds the data written or read."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
     """The answer to a request that may have committed.
 
     Attributes:
-        relay: The request's own answer, still held.
+        relay: Relay of the request's answer, which is still held back.
         position: Position of the connection's last commit; LOG_START if there is none.
     """
 
@@ -48,28 +48,28 @@
 async def send_commit(
     session: CallerSession, request: Request, record: str = ""
 ) -> CommitAnswer:
-    """Send a request that commits and the question for its position in one go.
+    """Send a request that commits, together with the query for its log position.
 
     Args:
-        session: The session, which holds a connection of the primary.
+        session: The session, which holds a connection to the primary.
         request: What to send.
         record: Statement that records the outcome of an idempotency key in the same
-            transaction, sent ahead; an error of it makes a COMMIT a ROLLBACK.
+            transaction, sent first; if it fails, a COMMIT rolls back.
 
     Returns:
         The answer.
 
     Raises:
         RequestError: OUTCOME_UNKNOWN if the upstream is lost; UPSTREAM_LOST or
-            UNSUPPORTED if the transaction was surely rolled back.
+            UNSUPPORTED if the transaction is known to have rolled back.
     """
     connection = session.connection
     assert connection is not None
     exchange = request.render(connection)
     relay = Relay(session, connection, exchange, hold_completed=True)
     query = get_contract(session).build_last_commit()
-    ahead = build_query(record) if record else b""
-    session.send_with_query(ahead + exchange.data, query)
+    record_data = build_query(record) if record else b""
+    session.send_with_query(record_data + exchange.data, query)
     refusal = None
     try:
         if record:
@@ -87,7 +87,7 @@
 async def read_refusal(
     session: CallerSession, connection: UpstreamConnection
 ) -> RequestError | None:
-    """Read the answer to the record of an outcome.
+    """Read the reply to the statement that records an outcome.
 
     Args:
         session: The session.
@@ -95,7 +95,7 @@
 
     Returns:
         The upstream's error, or None if the outcome is recorded. An error proves
-        that the transaction is rolled back, also if the connection ends with it.
+        that the transaction has rolled back, even if the connection ends after it.
 
     Raises:
         UpstreamLostError: If the connection ended without an error.
@@ -115,15 +115,15 @@
 
 
 def check_rolled_back(relay: Relay, refusal: RequestError) -> RequestError:
-    """Check that the COMMIT behind a record that was refused has rolled back.
+    """Check that the COMMIT after a refused outcome record has rolled back.
 
     Args:
-        relay: Answer to the COMMIT.
+        relay: Relay of the answer to the COMMIT.
         refusal: The upstream's error for the record.
 
     Returns:
         The error for the caller: the refusal, or OUTCOME_UNKNOWN if the upstream
-        says that it committed all the same.
+        reports a commit nevertheless.
     """
     if COMMIT_TAG not in relay.tags:
         return refusal
@@ -131,7 +131,7 @@
 
 
 async def commit_write(session: CallerSession, request: Request, key: str) -> bool:
-    """Commit the caller's transaction.
+    """Commit a transaction that may have written.
 
     Args:
         session: The session, with its transaction open.
@@ -162,10 +162,10 @@
 async def acknowledge_inner_commit(
     session: CallerSession, connection: UpstreamConnection
 ) -> None:
-    """Acknowledge a commit that stood among the statements of one query.
+    """Acknowledge a commit that was one of several statements in a query.
 
     Args:
-        session: The session, which still holds the answer.
+        session: The session, which still holds back the answer.
         connection: The connection that it holds.
 
     Raises:
@@ -192,7 +192,7 @@
 
     Raises:
         RequestError: POSITION_NOT_REACHED if what it read was not confirmed,
-            UPSTREAM_LOST if the upstream went away.
+            UPSTREAM_LOST if the upstream was lost.
     """
     connection = session.connection
     assert connection is not None
--- a/ebonyrack/callers/control_chunk.py
+++ b/ebonyrack/callers/control_chunk.py
@@ -1,4 +1,4 @@
-"""Statements of a pipeline that the proxy serves itself."""
+"""Control statements in a pipeline, which the proxy handles itself."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 async def run_control_chunk(
     session: CallerSession, store: StatementStore, chunk: Chunk
 ) -> bool:
-    """Run messages about one statement that the proxy serves itself.
+    """Run the messages that refer to one control statement.
 
     Args:
         session: The session.
@@ -62,7 +62,7 @@
     item: ChunkItem,
     prepared: PreparedStatement,
 ) -> None:
-    """Answer a Parse, Bind or Describe of such a statement.
+    """Answer a Parse, Bind or Describe of a control statement.
 
     Args:
         session: The session.
@@ -85,7 +85,7 @@
 
 
 async def execute_control(session: CallerSession, prepared: PreparedStatement) -> bool:
-    """Execute such a statement.
+    """Execute a control statement.
 
     Args:
         session: The session.
@@ -106,13 +106,10 @@
 
 
 def is_control(item: ChunkItem) -> bool:
-    """Tell whether a message is about a statement that the proxy serves itself.
+    """Return whether a message refers to a control statement.
 
     Args:
         item: The message.
-
-    Returns:
-        Whether it is.
     """
     if item.message.kind == b"C" or item.prepared is None:
         return False
@@ -120,7 +117,7 @@
 
 
 def split_into_chunks(items: list[ChunkItem]) -> list[Chunk]:
-    """Split messages where transaction control or a local statement stands.
+    """Split messages into chunks, with one chunk for each control statement.
 
     Args:
         items: Messages in order.
@@ -130,12 +127,12 @@
     """
     chunks: list[Chunk] = []
     for item in items:
-        belongs = (
+        extends_last = (
             chunks
             and is_control(chunks[-1].items[0]) == is_control(item)
             and (not is_control(item) or chunks[-1].items[0].prepared is item.prepared)
         )
-        if not belongs:
+        if not extends_last:
             chunks.append(Chunk())
         chunks[-1].items.append(item)
     return chunks
--- a/ebonyrack/callers/dispatch.py
+++ b/ebonyrack/callers/dispatch.py
@@ -1,4 +1,4 @@
-"""Chooses what serves a statement: the proxy, a transaction, a read or a write."""
+"""Dispatches statements to the proxy itself, a transaction, a read or a write."""
 
 from __future__ import annotations
 
@@ -41,10 +41,10 @@
 
 @dataclass(frozen=True, slots=True)
 class LocalAnswer:
-    """The answer to a statement that the proxy serves itself.
+    """The answer to a statement that needs no upstream.
 
     Attributes:
-        complete: The frame that completes the command.
+        complete: Frame that completes the command.
         name: Name of the one column, or an empty string if there is no row.
         value: Value of the column.
     """
@@ -55,7 +55,7 @@
 
     @property
     def row(self) -> bytes:
-        """The DataRow frame, or nothing."""
+        """DataRow frame, empty if there is no row."""
         return build_text_row((self.value,)) if self.name else b""
 
 
@@ -66,8 +66,8 @@
 
     Args:
         session: The session.
-        statement: What the statement is.
-        request: What to send for it.
+        statement: Classification of the statement.
+        request: Request to send for it.
 
     Returns:
         Whether it succeeded.
@@ -88,11 +88,11 @@
 async def run_control(
     session: CallerSession, statement: Statement, request: SimpleRequest
 ) -> bool:
-    """Serve transaction control and refuse what is not supported.
+    """Serve transaction control and reject unsupported statements.
 
     Args:
         session: The session.
-        statement: What the statement is.
+        statement: Classification of the statement.
         request: The statement as a simple query.
 
     Returns:
@@ -119,11 +119,11 @@
 
 
 def run_local(session: CallerSession, statement: Statement) -> LocalAnswer:
-    """Serve a statement on session variables.
+    """Serve a statement that needs no upstream.
 
     Args:
         session: The session.
-        statement: What the statement is.
+        statement: Classification of the statement.
 
     Returns:
         The answer.
@@ -150,7 +150,7 @@
 
 
 def discard(session: CallerSession, statement: Statement) -> LocalAnswer:
-    """Forget what a session has set or prepared.
+    """Reset the variables or drop the prepared statements of a session.
 
     Args:
         session: The session.
@@ -177,11 +177,11 @@
 async def run_simple(
     session: CallerSession, statement: Statement, request: SimpleRequest
 ) -> bool:
-    """Serve a statement that came as a simple query.
+    """Serve a statement that arrived as a simple query.
 
     Args:
         session: The session.
-        statement: What the statement is.
+        statement: Classification of the statement.
         request: The query.
 
     Returns:
--- a/ebonyrack/callers/exchange.py
+++ b/ebonyrack/callers/exchange.py
@@ -1,4 +1,4 @@
-"""What is sent to an upstream for a request and which answers are expected."""
+"""Data sent to an upstream for a request, and the expected steps of its answer."""
 
 from __future__ import annotations
 
@@ -32,8 +32,8 @@
     Attributes:
         completion: Whether the caller sees the completing message.
         frame: The answer itself for LOCAL steps, else empty.
-        prepares: Name under which the upstream knows a statement once the step
-            has succeeded, or an empty string.
+        prepares: Name of the statement that is prepared on the upstream once the
+            step has succeeded, or an empty string.
         is_done: Whether the step has succeeded.
     """
 
@@ -43,7 +43,7 @@
     is_done: bool = False
 
 
-# Steps that prepare nothing can be shared: nobody asks whether they are done.
+# Steps that prepare nothing can be shared, as their `is_done` is never used.
 RELAYED = Step(Completion.RELAY)
 SWALLOWED = Step(Completion.SWALLOW)
 
@@ -76,14 +76,15 @@
 
     @property
     def answer_format(self) -> bytes:
-        """What the layout of its answer depends on, for a repeat to compare."""
+        """Identifies the layout of its answer, which a replayed answer must match."""
 
     def build_replay(self, tags: Sequence[str], frames: Sequence[bytes] = ()) -> bytes:
         """Build the answer without an upstream.
 
         Args:
             tags: Command tags, one for each command.
-            frames: Recorded answer to a request of the same form, instead of tags.
+            frames: Recorded answer to a request of the same answer format, which
+                replaces the tags if there is one.
 
         Returns:
             The frames.
@@ -92,7 +93,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SimpleRequest:
-    """A simple query, sent on as it came.
+    """A simple query, forwarded unchanged.
 
     Attributes:
         raw: The Query frame.
--- a/ebonyrack/callers/failover_test.py
+++ b/ebonyrack/callers/failover_test.py
@@ -1,4 +1,4 @@
-"""Callers through a change of primary: nothing lost, nothing doubled."""
+"""A change of primary neither loses nor duplicates acknowledged writes of callers."""
 
 import asyncio
 
@@ -21,9 +21,9 @@
 
 
 async def book(proxy, number, is_keyed, acknowledged):
-    """Make bookings, each repeated until the answer leaves no doubt.
+    """Make bookings, retrying each until its outcome is known.
 
-    Without a key only what surely did not run is repeated.
+    Without a key only requests that certainly did not run are retried.
     """
     connection = await proxy.connect()
     for count in range(BOOKINGS):
@@ -47,7 +47,7 @@
 
 
 async def promote(proxy):
-    """Do what a coordinator does after the loss of the primary."""
+    """Promote a replica as a coordinator does after the loss of the primary."""
     standins = proxy.standins
     survivors = [standins[name] for name in ("up-2", "up-3")]
     for survivor in survivors:
@@ -60,7 +60,7 @@
 
 @pytest.mark.parametrize("is_keyed", [True, False])
 @pytest.mark.parametrize("fault", ["kill", "freeze"])
-async def test_bookings_through_a_change_of_primary(fault, is_keyed):
+async def test_acknowledged_bookings_survive_primary_change(fault, is_keyed):
     async with open_proxy(**LIMITS) as proxy:
         standins = proxy.standins
         acknowledged = []
@@ -73,16 +73,16 @@
             await standins.kill("up-1")
         else:
             standins.freeze("up-1")
-        freshest = await promote(proxy)
+        new_primary = await promote(proxy)
         await asyncio.gather(*tasks)
-        assert proxy.group.primary_name == freshest
+        assert proxy.group.primary_name == new_primary
         for request in acknowledged:
-            assert proxy.count_rows(freshest, f"'{request}'") == 1
+            assert proxy.count_rows(new_primary, f"'{request}'") == 1
         if is_keyed:
             assert len(acknowledged) == CALLERS * BOOKINGS
 
 
-async def test_a_transaction_of_a_replaced_primary_does_not_commit():
+async def test_transaction_on_replaced_primary_does_not_commit():
     async with open_proxy(**LIMITS) as proxy:
         caller = await proxy.start_wire()
         await caller.query("BEGIN")
@@ -96,21 +96,21 @@
             assert proxy.count_rows(name, "'a'") == 0
 
 
-async def test_a_right_that_the_document_takes_ends_with_the_request(proxy):
+async def test_revoked_access_ends_after_open_transaction(proxy):
     caller = await proxy.start_wire()
     await caller.query("BEGIN")
     services = proxy.listener.services
     groups = services.configuration.document.groups
     services.configuration.document = Document(2, "", groups=groups)
     assert GROUP in groups
-    # What is open is finished.
+    # The open transaction may still finish.
     assert (await caller.query(INSERT.format("a")))[0][0] == b"C"
     assert (await caller.query("COMMIT"))[-1] == (b"Z", b"I")
     caller.send(b"Q\x00\x00\x00\x0dSELECT 1\x00")
     assert b"C42501" in await caller.read_to_end()
 
 
-async def test_a_transaction_does_not_end_well_on_reads_that_no_majority_holds():
+async def test_commit_fails_if_no_majority_holds_data_read():
     async with open_proxy(**LIMITS) as proxy:
         caller, reader = [await proxy.start_wire() for _ in range(2)]
         for replica in ("up-2", "up-3"):
@@ -126,7 +126,7 @@
 
 
 @pytest.mark.parametrize("begin", ["", "BEGIN READ ONLY"])
-async def test_replica_promoted_unseen_shows_no_unconfirmed_write(begin):
+async def test_undetected_promotion_exposes_no_unconfirmed_write(begin):
     async with open_proxy(**LIMITS, probe_interval_s=60) as proxy:
         standins = proxy.standins
         connection = await proxy.connect()
--- a/ebonyrack/callers/fault_matrix_test.py
+++ b/ebonyrack/callers/fault_matrix_test.py
@@ -1,6 +1,6 @@
-"""Every fault at every step of a write and of a read, on the callers' side.
+"""Injects each fault at each step of a write and of a read of a caller.
 
-With EBONYRACK_FAULT_TABLE set to a file, each cell adds a line of its outcome.
+If EBONYRACK_FAULT_TABLE names a file, each cell appends a line with its result.
 """
 
 import asyncio
@@ -33,14 +33,14 @@
 
 
 class Cell:
-    """One fault at one step, and what came of it.
+    """A cell of the matrix: one fault that is injected at one step.
 
     Attributes:
         proxy: The proxy.
-        caller: The caller whose request meets the fault.
+        caller: The caller whose request the fault affects.
         fault: Name of the fault.
         is_injected: Whether the step was reached.
-        tasks: What the fault goes on doing.
+        tasks: Tasks that the fault has started.
     """
 
     def __init__(self, proxy, caller, fault):
@@ -56,7 +56,7 @@
         return session
 
     def inject(self):
-        """Bring the fault about, once."""
+        """Inject the fault, once."""
         if not self.is_injected:
             self.is_injected = True
             getattr(self, self.fault)()
@@ -92,7 +92,7 @@
 
 
 def inject_before(monkeypatch, cell, owner, name, condition=lambda *values: True):
-    """Let the fault strike before a method runs."""
+    """Inject the fault before a method runs."""
     original = getattr(owner, name)
 
     def injecting(*values, **named):
@@ -104,7 +104,7 @@
 
 
 def inject_after(monkeypatch, cell, owner, name, condition=lambda *values: True):
-    """Let the fault strike after a plain method has run."""
+    """Inject the fault after a synchronous method has run."""
     original = getattr(owner, name)
 
     def injecting(*values, **named):
@@ -139,14 +139,14 @@
 
 
 def arm_fault(monkeypatch, cell, step):
-    """Make the fault strike at a step."""
+    """Arrange for the fault to be injected at a step."""
     if step == "queued":
         inject_before(
             monkeypatch, cell, ConnectionPool, "wait_for_grant", lambda *values: True
         )
         return
-    how, owner, name, condition = STEPS[step]
-    how(monkeypatch, cell, owner, name, condition or (lambda *values: True))
+    inject_at, owner, name, condition = STEPS[step]
+    inject_at(monkeypatch, cell, owner, name, condition or (lambda *values: True))
 
 
 async def run_statements(caller, statements):
@@ -160,7 +160,7 @@
 
 
 async def observe(caller, statements):
-    """Return what the caller was told and the frames of the last answer."""
+    """Return the outcome reported to the caller and the frames of the last answer."""
     try:
         frames = await run_statements(caller, statements)
     except (ConnectionError, asyncio.IncompleteReadError):
@@ -172,7 +172,7 @@
 
 
 async def run_cell(monkeypatch, proxy, step, fault, statements):
-    """Run one cell and mend the group."""
+    """Run one cell and repair the group afterwards."""
     caller = await proxy.start_wire()
     cell = Cell(proxy, caller, fault)
     holders = []
@@ -194,86 +194,86 @@
 
 
 async def hold_all_connections(proxy):
-    """Occupy every connection of every pool."""
-    places = []
+    """Acquire every connection of every pool."""
+    held = []
     for upstream in proxy.group.upstreams.values():
         while len(upstream.pool.busy) < upstream.pool.limit:
             deadline_s = now_s() + 5.0
             connection = await upstream.pool.acquire("other", deadline_s)
-            places.append((upstream.pool, connection))
-    return places
+            held.append((upstream.pool, connection))
+    return held
 
 
 def write_result(kind, step, fault, outcome, rows):
-    """Add a line to the table of results, if one is asked for."""
+    """Append a line to the table of results, if one is requested."""
     path = os.environ.get("EBONYRACK_FAULT_TABLE")
     if path:
         with open(path, "a", encoding="utf-8") as table:
             table.write(f"| {kind} | {step} | {fault} | {outcome} | {rows} |\n")
 
 
-def count_majority(proxy):
-    """Count upstreams whose log has the booking."""
+def count_copies(proxy):
+    """Count the upstreams whose log contains the booking."""
     return sum(proxy.count_rows(name, REQUEST) > 0 for name in NAMES)
 
 
 FAULTS = ("upstream_lost", "connection_lost", "frozen", "caller_gone", "cancelled")
-LONE = (INSERT,)
+AUTOCOMMIT = (INSERT,)
 TRANSACTION = ("BEGIN", INSERT, "COMMIT")
 KEYED = ("SET ebonyrack.idempotency_key = 'k'", INSERT)
 KEYED_TRANSACTION = (KEYED[0], *TRANSACTION)
-# What a caller may be told; whether it is true is checked beside it.
-BEFORE = {"caller_gone": {GONE}, "cancelled": {OK, NO}}
+# Outcomes that may be reported to the caller; the tests also check that they are true.
+UNSENT = {"caller_gone": {GONE}, "cancelled": {OK, NO}}
 SENT = {"caller_gone": {GONE}, "cancelled": {OK, NO, UNKNOWN}}
-NOT_RUN = {"upstream_lost": {NO}, "connection_lost": {NO}, "frozen": {NO}, **BEFORE}
-UNSURE = {
+NOT_RUN = {"upstream_lost": {NO}, "connection_lost": {NO}, "frozen": {NO}, **UNSENT}
+MAY_HAVE_RUN = {
     "upstream_lost": {UNKNOWN},
     "connection_lost": {UNKNOWN},
     "frozen": {UNKNOWN},
     **SENT,
 }
 # The position may have arrived together with the answer to the commit.
-SETTLED = {fault: allowed | {OK} for fault, allowed in UNSURE.items()}
-SETTLED["caller_gone"] = {GONE}
-LATE = {
+MAY_BE_CONFIRMED = {fault: allowed | {OK} for fault, allowed in MAY_HAVE_RUN.items()}
+MAY_BE_CONFIRMED["caller_gone"] = {GONE}
+COMMITTED = {
     "upstream_lost": {OK, UNKNOWN},
     "connection_lost": {OK},
     "frozen": {OK, UNKNOWN},
     **SENT,
 }
-WHOLE = dict.fromkeys(FAULTS, {OK}) | {"caller_gone": {GONE}}
-# A connection that breaks between being taken and being used: nothing was sent, or
-# it went into a connection whose end was not known yet.
-TAKEN = NOT_RUN | {"upstream_lost": {NO, UNKNOWN}, "frozen": {UNKNOWN}}
+ANSWERED = dict.fromkeys(FAULTS, {OK}) | {"caller_gone": {GONE}}
+# The connection breaks between being acquired and being used: nothing was sent, or it
+# was sent before the loss of the connection was known.
+ACQUIRED = NOT_RUN | {"upstream_lost": {NO, UNKNOWN}, "frozen": {UNKNOWN}}
 WRITE_CELLS = [
-    ("write", LONE, "queued", NOT_RUN | {"connection_lost": {NO, OK}}),
-    ("write", LONE, "connection taken", TAKEN),
-    ("write", LONE, "statement sent", UNSURE),
-    ("write", LONE, "COMMIT answered", SETTLED),
-    ("write", LONE, "confirmation", LATE),
-    ("write", LONE, "answer", WHOLE),
+    ("write", AUTOCOMMIT, "queued", NOT_RUN | {"connection_lost": {NO, OK}}),
+    ("write", AUTOCOMMIT, "connection taken", ACQUIRED),
+    ("write", AUTOCOMMIT, "statement sent", MAY_HAVE_RUN),
+    ("write", AUTOCOMMIT, "COMMIT answered", MAY_BE_CONFIRMED),
+    ("write", AUTOCOMMIT, "confirmation", COMMITTED),
+    ("write", AUTOCOMMIT, "answer", ANSWERED),
     ("transaction", TRANSACTION, "queued", NOT_RUN | {"connection_lost": {NO, OK}}),
     ("transaction", TRANSACTION, "connection taken", NOT_RUN),
     ("transaction", TRANSACTION, "BEGIN", NOT_RUN),
     ("transaction", TRANSACTION, "statement sent", NOT_RUN),
-    ("transaction", TRANSACTION, "COMMIT sent", UNSURE),
-    ("transaction", TRANSACTION, "COMMIT answered", SETTLED),
-    ("transaction", TRANSACTION, "confirmation", LATE),
+    ("transaction", TRANSACTION, "COMMIT sent", MAY_HAVE_RUN),
+    ("transaction", TRANSACTION, "COMMIT answered", MAY_BE_CONFIRMED),
+    ("transaction", TRANSACTION, "confirmation", COMMITTED),
     ("keyed write", KEYED, "queued", NOT_RUN | {"connection_lost": {NO, OK}}),
     ("keyed write", KEYED, "connection taken", NOT_RUN),
     ("keyed write", KEYED, "BEGIN", NOT_RUN),
     ("keyed write", KEYED, "statement sent", NOT_RUN),
-    ("keyed write", KEYED, "COMMIT sent", UNSURE),
-    ("keyed write", KEYED, "COMMIT answered", SETTLED),
-    ("keyed write", KEYED, "confirmation", LATE),
-    ("keyed transaction", KEYED_TRANSACTION, "COMMIT sent", UNSURE),
-    ("keyed transaction", KEYED_TRANSACTION, "COMMIT answered", SETTLED),
+    ("keyed write", KEYED, "COMMIT sent", MAY_HAVE_RUN),
+    ("keyed write", KEYED, "COMMIT answered", MAY_BE_CONFIRMED),
+    ("keyed write", KEYED, "confirmation", COMMITTED),
+    ("keyed transaction", KEYED_TRANSACTION, "COMMIT sent", MAY_HAVE_RUN),
+    ("keyed transaction", KEYED_TRANSACTION, "COMMIT answered", MAY_BE_CONFIRMED),
 ]
 
 
 @pytest.mark.parametrize("fault", FAULTS)
 @pytest.mark.parametrize(("kind", "statements", "step", "allowed"), WRITE_CELLS)
-async def test_a_write(monkeypatch, kind, statements, step, allowed, fault):
+async def test_write_with_fault(monkeypatch, kind, statements, step, allowed, fault):
     async with open_proxy(limit=2, **LIMITS) as proxy:
         outcome, _ = await run_cell(monkeypatch, proxy, step, fault, statements)
         rows = proxy.count_rows(PRIMARY, REQUEST)
@@ -283,7 +283,7 @@
         if outcome == NO:
             assert rows == 0
         if outcome == OK:
-            assert count_majority(proxy) >= proxy.group.majority
+            assert count_copies(proxy) >= proxy.group.majority
         for upstream in proxy.group.upstreams.values():
             assert not upstream.pool.busy
         if proxy.standins[PRIMARY].is_running:
@@ -291,12 +291,12 @@
 
 
 async def check_next_caller(proxy, rows):
-    """Another caller finds no trace of the request but its committed rows."""
+    """Check that another caller sees nothing of the request but its committed rows."""
     await wait_until(lambda: proxy.group.primary() is not None)
     caller = await proxy.start_wire()
     frames = await caller.query(INSERT.replace(REQUEST, "the-next"))
     assert join_kinds(frames) == "CSZ"
-    # What was rolled back late has left by the time a later write has committed.
+    # A late rollback has finished by the time a later write has committed.
     assert proxy.count_rows(PRIMARY, REQUEST) == rows
     frames = await caller.query(READ)
     assert join_kinds(frames).count("D") == rows + 1
@@ -314,8 +314,8 @@
 @pytest.mark.parametrize("fault", FAULTS)
 @pytest.mark.parametrize(("step", "allowed"), READ_CELLS)
 @pytest.mark.parametrize("row_bytes", [10, 20_000])
-async def test_a_read(monkeypatch, step, allowed, fault, row_bytes):
-    """A short answer is tried again; a long one has partly gone to the caller."""
+async def test_read_with_fault(monkeypatch, step, allowed, fault, row_bytes):
+    """A short answer is retried; part of a long one has already been sent."""
     async with open_proxy(limit=3, **LIMITS) as proxy:
         caller = await proxy.start_wire()
         for number in range(SEEDED_ROWS):
@@ -329,7 +329,7 @@
         assert outcome in allowed.get(fault, {NO, OK} if is_long else {OK})
         if is_long and fault == "connection_lost":
             assert outcome == NO
-        # A short answer never looks whole, and no answer is given twice.
+        # An incomplete answer never looks complete, and no row is sent twice.
         assert ("C" in join_kinds(frames)) == (outcome == OK)
         assert rows <= SEEDED_ROWS
         if outcome == OK:
--- a/ebonyrack/callers/keyed_test.py
+++ b/ebonyrack/callers/keyed_test.py
@@ -14,39 +14,39 @@
 REQUEST = "only-once"
 INSERT = f"INSERT INTO bookings (slot, booker, request) VALUES (1, 'me', '{REQUEST}')"
 SET_KEY = "SET ebonyrack.idempotency_key = 'k'"
-LONE = (SET_KEY, INSERT)
+AUTOCOMMIT = (SET_KEY, INSERT)
 TRANSACTION = (SET_KEY, "BEGIN", INSERT, "COMMIT")
-BOTH = pytest.mark.parametrize("statements", [LONE, TRANSACTION])
+BOTH_KINDS = pytest.mark.parametrize("statements", [AUTOCOMMIT, TRANSACTION])
 CLAIM, STATEMENT, COMMIT = b"ON CONFLICT (key) DO NOTHING", INSERT.encode(), b"COMMIT"
 
 
-async def run(caller, statements):
+async def run_statements(caller, statements):
     """Run statements; return the frames of the last answer."""
     for sql in statements:
         frames = await caller.query(sql)
     return frames
 
 
-def watch_sends(monkeypatch, proxy, note):
-    """Call a function with what sessions send to their upstream, before it is sent."""
+def watch_sends(monkeypatch, proxy, callback):
+    """Call a function with the data of each send to an upstream, before it is sent."""
     send = UpstreamConnection.send
 
-    def watched(connection, data):
+    def send_watched(connection, data):
         if any(session.connection is connection for session in proxy.sessions):
-            note(bytes(data))
+            callback(bytes(data))
         send(connection, data)
 
-    monkeypatch.setattr(UpstreamConnection, "send", watched)
+    monkeypatch.setattr(UpstreamConnection, "send", send_watched)
 
 
-@BOTH
-async def test_begin_claim_and_record_cost_no_round_trip(
+@BOTH_KINDS
+async def test_begin_claim_and_outcome_record_add_no_round_trip(
     monkeypatch, proxy, statements
 ):
     sent = []
     watch_sends(monkeypatch, proxy, sent.append)
     caller = await proxy.start_wire()
-    assert "C" in join_kinds(await run(caller, statements))
+    assert "C" in join_kinds(await run_statements(caller, statements))
     assert len(sent) == 3
     for data, part in zip(sent, (CLAIM, STATEMENT, COMMIT), strict=True):
         assert part in data
@@ -57,8 +57,8 @@
     )
 
 
-@BOTH
-async def test_an_outcome_that_is_refused_rolls_back(monkeypatch, proxy, statements):
+@BOTH_KINDS
+async def test_refused_outcome_record_rolls_back(monkeypatch, proxy, statements):
     caller = await proxy.start_wire()
     with monkeypatch.context() as patches:
         for module in (commit, writing):
@@ -67,17 +67,17 @@
                 "build_outcome_record",
                 lambda key, outcome: "INSERT INTO missing (key) VALUES ('k')",
             )
-        sqlstate, detail = find_error(await run(caller, statements))
+        sqlstate, detail = find_error(await run_statements(caller, statements))
     assert sqlstate == "0A000" and detail.startswith("ran=no") and "42P01" in detail
     assert proxy.count_rows(PRIMARY, REQUEST) == 0
     # The connection is clean and the key is free.
     assert len(proxy.pool(PRIMARY).busy) == 0
-    assert "E" not in join_kinds(await run(caller, statements))
+    assert "E" not in join_kinds(await run_statements(caller, statements))
     assert proxy.count_rows(PRIMARY, REQUEST) == 1
 
 
-@BOTH
-async def test_an_error_before_the_connection_ends_proves_that_it_did_not_run(
+@BOTH_KINDS
+async def test_error_before_connection_loss_proves_rollback(
     monkeypatch, proxy, statements
 ):
     def end_upstream_sessions(data):
@@ -88,14 +88,14 @@
     caller = await proxy.start_wire()
     with monkeypatch.context() as patches:
         watch_sends(patches, proxy, end_upstream_sessions)
-        sqlstate, detail = find_error(await run(caller, statements))
+        sqlstate, detail = find_error(await run_statements(caller, statements))
     assert sqlstate == "08006" and detail.startswith("ran=no")
     assert proxy.count_rows(PRIMARY, REQUEST) == 0
 
 
-@BOTH
-async def test_an_error_of_the_commit_is_passed_on(monkeypatch, proxy, statements):
-    """A deferred constraint fails there; told to come again, a caller never ends."""
+@BOTH_KINDS
+async def test_commit_error_is_passed_on(monkeypatch, proxy, statements):
+    """A deferred constraint fails at COMMIT; a caller told to retry would never end."""
 
     def refuse(upstream, transaction, term):
         upstream.rollback(transaction)
@@ -104,27 +104,27 @@
     caller = await proxy.start_wire()
     with monkeypatch.context() as patches:
         patches.setattr(StandinUpstream, "commit", refuse)
-        frames = await run(caller, statements)
+        frames = await run_statements(caller, statements)
     assert find_error(frames) == ("23503", "") and frames[-1] == (b"Z", b"I")
     assert proxy.count_rows(PRIMARY, REQUEST) == 0
-    assert "E" not in join_kinds(await run(caller, statements))
+    assert "E" not in join_kinds(await run_statements(caller, statements))
     assert proxy.count_rows(PRIMARY, REQUEST) == 1
 
 
-async def test_a_request_that_deletes_its_own_key_still_runs_once(proxy):
+async def test_request_that_deletes_its_own_key_runs_once(proxy):
     caller = await proxy.start_wire()
     delete = "DELETE FROM ebonyrack_requests"
     for replayed in (b"off", b"on"):
-        frames = await run(caller, (SET_KEY, delete))
+        frames = await run_statements(caller, (SET_KEY, delete))
         assert (b"C", b"DELETE 1\x00") in frames
         assert (b"S", b"ebonyrack.replayed\x00" + replayed + b"\x00") in frames
 
 
 @pytest.mark.parametrize("begin", ["BEGIN -- first", "BEGIN; /* all */", "BEGIN;"])
-async def test_a_comment_behind_begin_hides_no_claim(proxy, begin):
+async def test_comment_after_begin_does_not_hide_key_claim(proxy, begin):
     caller = await proxy.start_wire()
     statements = (SET_KEY, begin, INSERT, "COMMIT")
-    assert (b"C", b"COMMIT\x00") in await run(caller, statements)
-    sqlstate, detail = find_error(await run(caller, statements[:3]))
+    assert (b"C", b"COMMIT\x00") in await run_statements(caller, statements)
+    sqlstate, detail = find_error(await run_statements(caller, statements[:3]))
     assert sqlstate == "23505" and "already_ran" in detail
     assert proxy.count_rows(PRIMARY, REQUEST) == 1
--- a/ebonyrack/callers/overlapped_read.py
+++ b/ebonyrack/callers/overlapped_read.py
@@ -33,7 +33,7 @@
     requirement: ReadRequirement,
     deadline_s: float,
 ) -> bool | None:
-    """Serve a read that is sent before its read index is known, if that may gain.
+    """Serve a read that is sent before its read index is known, if that saves time.
 
     Args:
         session: The session.
@@ -42,12 +42,12 @@
         deadline_s: Monotonic time by which it must have been sent, in seconds.
 
     Returns:
-        Whether the upstream answered without an error. None if the read is still to
-        be placed; nothing of an answer has gone to the caller.
+        Whether the upstream answered without an error. None if the read must still
+        be placed; nothing has been sent to the caller then.
 
     Raises:
         ReadInterruptedError: If the upstream was lost.
-        MisclassifiedWriteError: If it is no read.
+        MisclassifiedWriteError: If it is a write.
         RequestError: If it can't be served or was cancelled.
     """
     overlap = choose_overlap(session.group, session.read_index, requirement, deadline_s)
@@ -71,13 +71,13 @@
 async def send_overlapped_read(
     session: CallerSession, request: Request, overlap: Overlap
 ) -> Relay | None:
-    """Send a read behind a poll and wait until its answer may be used.
+    """Send a poll followed by the read, and wait until its answer may be used.
 
-    The answer itself is not read before, so that the upstream is held back when it
-    is large.
+    The answer is not read before, so that back-pressure stops the upstream if the
+    answer is large.
 
     Args:
-        session: The session, which holds a connection of the replica.
+        session: The session, which holds a connection to the replica.
         request: What to send.
         overlap: The overlapped read.
 
@@ -86,20 +86,21 @@
 
     Raises:
         ReadInterruptedError: If the upstream was lost.
-        RequestError: CANCELLED if the caller has cancelled an answer that is dropped.
+        RequestError: CANCELLED if the answer is dropped and the caller has cancelled
+            the read.
     """
     connection = session.connection
     assert connection is not None
     exchange = request.render(connection)
     relay = Relay(session, connection, exchange, hold_completed=False)
-    # Lets the polls go out first: their answers come while the replica reads.
+    # Lets the polls be sent first, so that they are answered while the replica reads.
     await asyncio.sleep(0)
     try:
         connection.send(build_position_query(session) + exchange.data)
         status = await read_status(session)
     except UpstreamLostError as error:
         raise report_interrupted_read(session, overlap.replica, error, False) from error
-    # A cancel request that comes now is meant for the read, which runs already.
+    # The read is running, so a cancel request that arrives now is meant for it.
     session.enter_phase(SessionPhase.UPSTREAM)
     placement = await overlap.validate(status)
     session.enter_phase(SessionPhase.WORKING)
@@ -107,17 +108,18 @@
         return relay
     if connection.is_cancelled:
         raise RequestError(ErrorKind.CANCELLED)
-    discard_dropped_answer(relay)
+    consume_dropped_answer(relay)
     return None
 
 
-def discard_dropped_answer(relay: Relay) -> None:
-    """Take an answer that is dropped off its connection, as far as it has come.
+def consume_dropped_answer(relay: Relay) -> None:
+    """Read the part of a dropped answer that has already arrived.
 
-    If it is whole, the connection can be kept; its statements stay prepared.
+    If that is the whole answer, the connection can be reused with its prepared
+    statements.
 
     Args:
-        relay: The relay of the answer; what it collects goes to nobody.
+        relay: The relay of the answer, whose output is not used.
     """
     with contextlib.suppress(UpstreamLostError):
         message = relay.connection.pop_message()
@@ -137,7 +139,7 @@
         upstream: The replica.
 
     Raises:
-        ReadInterruptedError: If it was lost, or became primary meanwhile.
+        ReadInterruptedError: If it was lost or has become the primary meanwhile.
     """
     try:
         await relay.run()
--- a/ebonyrack/callers/overlapped_read_test.py
+++ b/ebonyrack/callers/overlapped_read_test.py
@@ -12,50 +12,50 @@
 
 INSERT = "INSERT INTO bookings (slot, booker, request) VALUES (1, %s, %s)"
 SELECT = "SELECT booker FROM bookings"
-# Nothing is polled unless a request needs it, and no poll is given up.
+# Upstreams are polled only if a request needs it, and no poll times out.
 QUIET = {"probe_interval_s": 60, "suspect_after_s": 30, "read_wait_s": 20}
 READY = b"Z\0\0\0\5I"
 CHUNK_BYTES = 256 * 1024
 
 
 @pytest.fixture
-def placed():
+def placements():
     """Placement decisions: event, reason and upstream."""
     decisions = []
 
-    def note(message):
+    def record_decision(message):
         record = message.record
         if record["message"].startswith("read_"):
             extra = record["extra"]
             decisions.append((record["message"], extra["reason"], extra["upstream"]))
 
-    handler = logger.add(note)
+    handler = logger.add(record_decision)
     yield decisions
     logger.remove(handler)
 
 
-async def steer(proxy, name, other):
-    """Make reads go to one replica at first: the other one is busier."""
+async def prefer_replica(proxy, name, other):
+    """Make reads prefer one replica by holding a connection to the other one."""
     await wait_until(lambda: proxy.pool(name).idle_count)
     await proxy.group.poll_all()
     return await proxy.pool(other).acquire("tests", now_s() + 5.0)
 
 
-async def write_elsewhere(proxy, *holders):
-    """Write as if by another proxy; the named replicas show it."""
+async def write_through_other_proxy(proxy, *replicas):
+    """Write as another proxy would, and wait until the named replicas apply it."""
     address = proxy.standins["up-1"].address
     direct = await open_connection(address, "ebonyrack", "", "booking", 5.0)
     await direct.query("INSERT INTO bookings (slot, booker) VALUES (1, 'new')", 5.0)
     direct.close()
-    for name in holders:
+    for name in replicas:
         upstream = proxy.standins[name]
         await upstream.applied.wait_for(proxy.standins["up-1"].log.last, 5.0)
 
 
-async def read_in_vain(proxy, caller, prepare):
-    """Read on a replica that lacks a write; judge it when its answer has come."""
+async def read_dropped_answer(proxy, caller, prepare):
+    """Read on a replica that lacks a write; validate it after its whole answer came."""
     proxy.standins.cut("up-1", "up-2")
-    await write_elsewhere(proxy, "up-3")
+    await write_through_other_proxy(proxy, "up-3")
     for name in ("up-1", "up-3"):
         proxy.standins.freeze(name)
     reading = asyncio.create_task(caller.execute(SELECT, prepare=prepare))
@@ -69,34 +69,34 @@
 
 
 def count_busy(proxy):
-    """Return the connections in use."""
+    """Return the number of connections in use."""
     return sum(item.pool.busy_count for item in proxy.group.upstreams.values())
 
 
 @pytest.mark.parametrize("prepare", [False, True])
-async def test_strict_read_is_sent_before_its_index_is_known(placed, prepare):
+async def test_strict_read_is_sent_before_its_index_is_known(placements, prepare):
     async with open_proxy(**QUIET) as proxy, await proxy.connect() as caller:
-        held = await steer(proxy, "up-2", "up-3")
+        held = await prefer_replica(proxy, "up-2", "up-3")
         for _ in range(3):
             cursor = await caller.execute(SELECT, prepare=prepare)
             assert await cursor.fetchall() == []
-        await wait_until(lambda: len(placed) >= 3)
-        assert set(placed) == {("read_placed", "overlapped", "up-2")}
+        await wait_until(lambda: len(placements) >= 3)
+        assert set(placements) == {("read_placed", "overlapped", "up-2")}
         proxy.pool("up-3").release(held)
         assert count_busy(proxy) == 0
 
 
 @pytest.mark.parametrize("prepare", [False, True])
-async def test_answer_of_a_replica_that_lacks_a_write_is_dropped(placed, prepare):
+async def test_answer_of_replica_that_lacks_a_write_is_dropped(placements, prepare):
     async with open_proxy(**QUIET) as proxy, await proxy.connect() as caller:
-        held = await steer(proxy, "up-2", "up-3")
+        held = await prefer_replica(proxy, "up-2", "up-3")
         proxy.standins.cut("up-1", "up-2")
-        await write_elsewhere(proxy, "up-3")
+        await write_through_other_proxy(proxy, "up-3")
         cursor = await caller.execute(SELECT, prepare=prepare)
         assert await cursor.fetchall() == [("new",)]
-        await wait_until(lambda: len(placed) >= 2)
-        assert placed[0] == ("read_overlap_dropped", "not_reached", "up-2")
-        assert placed[1][0] == "read_placed" and placed[1][1] != "overlapped"
+        await wait_until(lambda: len(placements) >= 2)
+        assert placements[0] == ("read_overlap_dropped", "not_reached", "up-2")
+        assert placements[1][0] == "read_placed" and placements[1][1] != "overlapped"
         proxy.pool("up-3").release(held)
         assert count_busy(proxy) == 0
         proxy.standins.heal()
@@ -105,11 +105,11 @@
 
 
 @pytest.mark.parametrize("prepare", [False, True])
-async def test_connection_whose_dropped_answer_came_whole_is_kept(placed, prepare):
+async def test_connection_is_reused_after_whole_answer_is_dropped(placements, prepare):
     async with open_proxy(**QUIET) as proxy, await proxy.connect() as caller:
-        held = await steer(proxy, "up-2", "up-3")
-        connection = await read_in_vain(proxy, caller, prepare)
-        assert placed[0] == ("read_overlap_dropped", "not_reached", "up-2")
+        held = await prefer_replica(proxy, "up-2", "up-3")
+        connection = await read_dropped_answer(proxy, caller, prepare)
+        assert placements[0] == ("read_overlap_dropped", "not_reached", "up-2")
         assert proxy.pool("up-2").idle == [connection]
         assert bool(connection.prepared) == prepare
         proxy.pool("up-3").release(held)
@@ -120,7 +120,7 @@
         assert count_busy(proxy) == 0
 
 
-async def test_large_answer_waits_at_the_upstream_for_its_index(placed):
+async def test_large_answer_waits_at_upstream_for_read_index(placements):
     async with open_proxy(**QUIET) as proxy, await proxy.connect() as caller:
         for number in range(30):
             await caller.execute(INSERT, ("x" * 100_000, str(number)))
@@ -128,7 +128,7 @@
             upstream = proxy.standins[name]
             await upstream.applied.wait_for(proxy.standins["up-1"].log.last, 5.0)
         await caller.execute("RESET ebonyrack.token")
-        held = await steer(proxy, "up-2", "up-3")
+        held = await prefer_replica(proxy, "up-2", "up-3")
         for name in ("up-1", "up-3"):
             proxy.standins.freeze(name)
         reading = asyncio.create_task(caller.execute(SELECT))
@@ -141,15 +141,15 @@
             proxy.standins.resume(name)
         rows = await (await reading).fetchall()
         assert rows == [("x" * 100_000,)] * 30
-        assert placed[-1] == ("read_placed", "overlapped", "up-2")
+        assert placements[-1] == ("read_placed", "overlapped", "up-2")
         proxy.pool("up-3").release(held)
 
 
-async def test_cancelled_answer_that_is_dropped_is_not_asked_for_again(placed):
+async def test_cancelled_read_with_dropped_answer_is_not_retried(placements):
     async with open_proxy(**QUIET) as proxy, await proxy.connect() as caller:
-        held = await steer(proxy, "up-2", "up-3")
+        held = await prefer_replica(proxy, "up-2", "up-3")
         proxy.standins.cut("up-1", "up-2")
-        await write_elsewhere(proxy, "up-3")
+        await write_through_other_proxy(proxy, "up-3")
         for name in ("up-1", "up-3"):
             proxy.standins.freeze(name)
         reading = asyncio.create_task(caller.execute(SELECT))
@@ -162,6 +162,6 @@
             proxy.standins.resume(name)
         with pytest.raises(psycopg.errors.QueryCanceled):
             await reading
-        assert [event for event, *_ in placed] == ["read_overlap_dropped"]
+        assert [event for event, *_ in placements] == ["read_overlap_dropped"]
         proxy.pool("up-3").release(held)
         proxy.standins.heal()
--- a/ebonyrack/callers/pipeline.py
+++ b/ebonyrack/callers/pipeline.py
@@ -1,4 +1,4 @@
-"""The extended query protocol: messages collected up to Sync or Flush and run."""
+"""Extended query protocol: collects messages up to Sync or Flush and runs them."""
 
 from __future__ import annotations
 
@@ -25,25 +25,25 @@
     from ebonyrack.callers.session import CallerSession
     from ebonyrack.upstreams.connection import Message
 
-# A pipeline longer than this runs in parts, as if the caller had sent a Flush.
+# A longer pipeline runs in several parts, as if the caller had sent a Flush.
 MAXIMUM_COLLECTED_BYTES = 1024 * 1024
 
 
 class Pipeline:
     """Extended-query messages of one session.
 
-    Outside a transaction, messages up to Sync are one transaction in PostgreSQL.
-    They are served as one request if they come in one piece; a Flush makes the
-    proxy open a transaction of its own, which ends at Sync.
+    Outside a transaction block, messages up to Sync are one transaction in
+    PostgreSQL. Without a Flush they are served as one request; with one, the proxy
+    opens an implicit transaction, which ends at Sync.
 
     Attributes:
         session: The session.
         store: The session's prepared statements.
         portals: Statement of each portal.
         items: Messages that have not run yet.
-        collected_bytes: Their size.
+        collected_bytes: Size of these messages.
         is_skipping: Whether messages are skipped up to Sync after an error.
-        has_unsynced: Whether messages have run that no Sync has closed yet.
+        has_unsynced: Whether messages have run for which no Sync has arrived yet.
     """
 
     __slots__ = (
@@ -67,50 +67,50 @@
 
     @property
     def is_open(self) -> bool:
-        """Whether messages have come that no Sync has closed yet."""
+        """Whether messages have arrived since the last Sync."""
         return bool(self.items) or self.is_skipping or self.has_unsynced
 
     async def process_message(self, frame: Message) -> None:
-        """Take a message and run what is due.
+        """Collect a message, and run the collected ones when they are due.
 
         Args:
             frame: The frame.
 
         Raises:
-            RequestError: If the session ends with it.
+            RequestError: If it ends the session.
         """
         if frame.kind == b"S":
             await self.process_sync()
         elif self.is_skipping:
             return
         elif frame.kind == b"H":
-            await self.run_collected(is_whole=False)
+            await self.run_collected(is_synced=False)
         else:
             self.collect(frame)
             if self.is_run_due(frame):
-                await self.run_collected(is_whole=False)
+                await self.run_collected(is_synced=False)
 
     def is_run_due(self, frame: Message) -> bool:
-        """Tell whether the messages collected have become too many to wait on.
+        """Return whether too much is collected to wait for a Sync or Flush.
 
         Args:
-            frame: The message that came last.
+            frame: The message that arrived last.
 
         Returns:
-            Whether to run them; if possible behind an Execute.
+            Whether to run the messages; preferably right after an Execute.
         """
         if self.collected_bytes > self.session.settings.maximum_message_bytes:
             return True
         return frame.kind == b"E" and self.collected_bytes > MAXIMUM_COLLECTED_BYTES
 
     def collect(self, frame: Message) -> None:
-        """Keep a message until Sync or Flush, with the statement it is about.
+        """Store a message until Sync or Flush, with the statement it refers to.
 
         Args:
             frame: The frame.
 
         Raises:
-            RequestError: BAD_REQUEST if it can't be read.
+            RequestError: BAD_REQUEST if it can't be decoded.
         """
         message = decode_message(frame.kind, frame.raw)
         prepared = None
@@ -126,7 +126,7 @@
         self.collected_bytes += len(frame.raw)
 
     def find_statement(self, name: bytes) -> PreparedStatement | None:
-        """Find a statement, also among those collected but not run yet.
+        """Find a statement, including those collected but not prepared yet.
 
         Args:
             name: The caller's name for it.
@@ -144,13 +144,13 @@
         return self.store.statements.get(name)
 
     async def process_sync(self) -> None:
-        """Run what is left at Sync and tell the caller to go on.
+        """Run the collected messages at a Sync and send ReadyForQuery.
 
         Raises:
-            RequestError: If the session ends with it.
+            RequestError: If it ends the session.
         """
         if not self.is_skipping:
-            await self.run_collected(is_whole=True)
+            await self.run_collected(is_synced=True)
         self.is_skipping = False
         self.has_unsynced = False
         transaction = self.session.transaction
@@ -161,10 +161,10 @@
         self.session.write_ready()
 
     async def end_implicit_transaction(self) -> None:
-        """End the transaction that a Flush made the proxy open.
+        """End the transaction that the proxy has opened for the pipeline.
 
         Raises:
-            RequestError: If the session ends with it.
+            RequestError: If it ends the session.
         """
         session = self.session
         transaction = session.transaction
@@ -175,57 +175,57 @@
                 await transaction.roll_back(INTERNAL_ROLLBACK)
         except RequestError as error:
             session.fail(error)
-        # Whatever happened, the caller never opened this transaction.
+        # The caller has not opened this transaction and can't end it after an error.
         transaction.reset()
 
-    async def run_collected(self, is_whole: bool) -> None:
+    async def run_collected(self, is_synced: bool) -> None:
         """Run the messages collected so far.
 
         Args:
-            is_whole: Whether a Sync follows them.
+            is_synced: Whether a Sync follows them.
 
         Raises:
-            RequestError: If the session ends with it.
+            RequestError: If it ends the session.
         """
         items, self.items = self.items, []
         self.collected_bytes = 0
-        self.has_unsynced = bool(items) and not is_whole
+        self.has_unsynced = bool(items) and not is_synced
         for chunk in split_into_chunks(items):
-            if not await self.run_chunk(chunk, is_whole):
+            if not await self.run_chunk(chunk, is_synced):
                 self.is_skipping = True
                 return
 
-    async def run_chunk(self, chunk: Chunk, is_whole: bool) -> bool:
-        """Run a chunk; an error that does not end the session is answered.
+    async def run_chunk(self, chunk: Chunk, is_synced: bool) -> bool:
+        """Run a chunk and report an error to the caller unless it ends the session.
 
         Args:
             chunk: The chunk.
-            is_whole: Whether a Sync follows it.
+            is_synced: Whether a Sync follows it.
 
         Returns:
             Whether it succeeded.
 
         Raises:
-            RequestError: If the session ends with it.
+            RequestError: If it ends the session.
         """
         session = self.session
         try:
             if is_control(chunk.items[0]):
                 is_success = await run_control_chunk(session, self.store, chunk)
             else:
-                is_success = await self.run_data_chunk(chunk, is_whole)
+                is_success = await self.run_data_chunk(chunk, is_synced)
         except RequestError as error:
             session.fail(error)
             is_success = False
         session.count_request(chunk.statement, is_success)
         return is_success
 
-    async def run_data_chunk(self, chunk: Chunk, is_whole: bool) -> bool:
-        """Run messages about reads and writes.
+    async def run_data_chunk(self, chunk: Chunk, is_synced: bool) -> bool:
+        """Run a chunk of reads and writes.
 
         Args:
             chunk: The chunk.
-            is_whole: Whether a Sync follows it.
+            is_synced: Whether a Sync follows it.
 
         Returns:
             Whether it succeeded.
@@ -238,7 +238,7 @@
             session.stream.write(chunk.build_replay([]))
             self.store.remove_closed(chunk)
             return True
-        if not is_whole and session.transaction.status == IDLE and chunk.uses_portals:
+        if not is_synced and session.transaction.status == IDLE and chunk.uses_portals:
             session.transaction.begin(INTERNAL_BEGIN, False, is_implicit=True)
         try:
             return await run_data(session, chunk.statement, chunk)
--- a/ebonyrack/callers/pipeline_test.py
+++ b/ebonyrack/callers/pipeline_test.py
@@ -23,25 +23,28 @@
 COUNT = b"SELECT count(*) FROM bookings"
 
 
-def run(sql, name=b""):
+def parse_and_execute(sql, name=b""):
     return parse(name, sql) + bind(name) + describe(b"P", b"") + execute()
 
 
-async def test_a_read_is_served_by_a_replica(proxy):
+async def test_read_is_served_by_replica(proxy):
     caller = await proxy.start_wire()
-    assert join_kinds(await caller.send_and_read(run(COUNT), SYNC)) == "12TDCZ"
+    assert (
+        join_kinds(await caller.send_and_read(parse_and_execute(COUNT), SYNC))
+        == "12TDCZ"
+    )
     frames = await caller.query("SHOW ebonyrack.served_by")
     assert frames[1][1].endswith(b"replica")
 
 
-async def test_a_write_is_reported_with_its_token(proxy):
+async def test_write_reports_session_token(proxy):
     caller = await proxy.start_wire()
-    frames = await caller.send_and_read(run(INSERT % b"a"), SYNC)
+    frames = await caller.send_and_read(parse_and_execute(INSERT % b"a"), SYNC)
     assert join_kinds(frames) == "12nCSZ"
     assert proxy.count_rows("up-2", "a") + proxy.count_rows("up-3", "a") >= 1
 
 
-async def test_a_named_statement_is_prepared_wherever_it_is_used(proxy):
+async def test_named_statement_is_prepared_on_each_connection_used(proxy):
     caller = await proxy.start_wire()
     frames = await caller.send_and_read(parse(b"s", COUNT), describe(b"S", b"s"), SYNC)
     assert join_kinds(frames) == "1tTZ"
@@ -59,9 +62,9 @@
 
 
 async def use_all_connections(proxy, caller, request):
-    """Run a request on all connections of the primary and on those of any reads.
+    """Run a request on each upstream that serves it and on all primary connections.
 
-    Connections are held by other sessions in turn, so that the next one is used.
+    Other sessions hold the primary's used connections, so that the next one is used.
     """
     served_by = set()
     for _ in range(MAXIMUM_READS):
@@ -85,8 +88,8 @@
 
 @pytest.mark.parametrize("is_transaction", [False, True])
 @pytest.mark.parametrize("is_read", [False, True])
-async def test_a_statement_made_stale_is_prepared_anew(is_read, is_transaction):
-    """Each connection that knows the old statement fails once and is closed."""
+async def test_stale_statement_is_prepared_again(is_read, is_transaction):
+    """Each connection with the old prepared statement fails once and is closed."""
     sql = b"SELECT * FROM bookings"
     if not is_read:
         sql = b"UPDATE bookings SET slot = 2 WHERE request = 'a' RETURNING *"
@@ -113,7 +116,7 @@
         assert join_kinds(frames) in ("2TDCZ", "2TDCSZ") and b"note" in frames[1][1]
 
 
-async def test_names_of_two_sessions_do_not_collide(proxy):
+async def test_statement_names_of_two_sessions_do_not_collide(proxy):
     first, second = [await proxy.start_wire() for _ in range(2)]
     await first.send_and_read(parse(b"s", b"SELECT 1"), SYNC)
     await second.send_and_read(parse(b"s", b"SELECT 2"), SYNC)
@@ -123,7 +126,7 @@
             assert frames[1][1].endswith(value)
 
 
-async def test_the_unnamed_statement_lasts_until_the_next_one(proxy):
+async def test_unnamed_statement_lasts_until_next_query(proxy):
     caller = await proxy.start_wire()
     await caller.send_and_read(parse(b"", b"SELECT 1"), SYNC)
     for _ in range(3):
@@ -136,12 +139,12 @@
     )
 
 
-async def test_an_error_skips_to_sync_and_what_came_before_stays_prepared(proxy):
+async def test_error_skips_to_sync_and_keeps_earlier_statements_prepared(proxy):
     caller = await proxy.start_wire()
     frames = await caller.send_and_read(
         parse(b"good", b"SELECT 1"),
         parse(b"bad", b"SELECT 1; SELECT 2"),
-        run(COUNT),
+        parse_and_execute(COUNT),
         SYNC,
     )
     assert join_kinds(frames) == "1EZ"
@@ -151,25 +154,27 @@
     assert find_error(await caller.send_and_read(bind(b"bad"), SYNC))[0] == "26000"
 
 
-async def test_a_pipeline_without_a_transaction_is_one(proxy):
+async def test_pipeline_outside_transaction_is_atomic(proxy):
     caller = await proxy.start_wire()
-    frames = await caller.send_and_read(run(INSERT % b"a"), run(INSERT % b"a"), SYNC)
+    frames = await caller.send_and_read(
+        parse_and_execute(INSERT % b"a"), parse_and_execute(INSERT % b"a"), SYNC
+    )
     assert find_error(frames)[0] == "23505"
     assert "C" not in join_kinds(frames)[-2:]
     assert proxy.count_rows("up-1", "a") == 0
 
 
 @pytest.mark.parametrize("last", [b"b", b"a"])
-async def test_a_flush_keeps_the_pipeline_one_transaction(proxy, last):
+async def test_flush_keeps_pipeline_in_one_transaction(proxy, last):
     caller = await proxy.start_wire()
-    caller.send(run(INSERT % b"a"), FLUSH)
+    caller.send(parse_and_execute(INSERT % b"a"), FLUSH)
     assert [(await caller.read_frame())[0] for _ in range(4)] == [
         b"1",
         b"2",
         b"n",
         b"C",
     ]
-    frames = await caller.send_and_read(run(INSERT % last), SYNC)
+    frames = await caller.send_and_read(parse_and_execute(INSERT % last), SYNC)
     assert frames[-1] == (b"Z", b"I")
     assert ("E" in join_kinds(frames)) == (last == b"a")
     assert proxy.count_rows("up-1", "a") == (last != b"a")
@@ -179,19 +184,19 @@
 async def test_transaction_control_and_variables_within_a_pipeline(proxy):
     caller = await proxy.start_wire()
     frames = await caller.send_and_read(
-        run(b"SET ebonyrack.max_age = '0'"),
-        run(b"BEGIN"),
-        run(INSERT % b"a"),
-        run(b"SHOW ebonyrack.max_age"),
-        run(b"COMMIT"),
-        run(COUNT),
+        parse_and_execute(b"SET ebonyrack.max_age = '0'"),
+        parse_and_execute(b"BEGIN"),
+        parse_and_execute(INSERT % b"a"),
+        parse_and_execute(b"SHOW ebonyrack.max_age"),
+        parse_and_execute(b"COMMIT"),
+        parse_and_execute(COUNT),
         SYNC,
     )
     assert join_kinds(frames) == "12nC12nC12nC12TDC12nCS12TDCZ"
     assert frames[-3][1].endswith(b"1")
 
 
-async def test_a_flush_between_bind_and_execute_keeps_the_portal(proxy):
+async def test_flush_between_bind_and_execute_keeps_portal(proxy):
     caller = await proxy.start_wire()
     caller.send(parse(b"", COUNT), bind(b""), FLUSH)
     assert [(await caller.read_frame())[0] for _ in range(2)] == [b"1", b"2"]
@@ -199,7 +204,7 @@
 
 
 @pytest.mark.parametrize("value_bytes", [300_000, 600_000])
-async def test_long_pipelines_run_in_parts_as_one_transaction(proxy, value_bytes):
+async def test_long_pipeline_runs_in_parts_as_one_transaction(proxy, value_bytes):
     insert = "INSERT INTO bookings (slot, booker, request) VALUES (%s, %s, %s)"
     async with await proxy.connect() as connection:
         for last, count in (("0", 0), ("4", 5)):
@@ -217,27 +222,39 @@
             assert await cursor.fetchone() == (count,)
 
 
-async def test_copy_is_refused_cleanly(proxy):
+async def test_copy_is_rejected_without_losing_session(proxy):
     caller = await proxy.start_wire()
-    frames = await caller.send_and_read(run(b"COPY bookings FROM STDIN"), SYNC)
+    frames = await caller.send_and_read(
+        parse_and_execute(b"COPY bookings FROM STDIN"), SYNC
+    )
     assert find_error(frames)[0] == "0A000" and join_kinds(frames) == "EZ"
-    # The data of a driver that did not wait for the refusal is skipped.
+    # Data from a driver that did not wait for the rejection is skipped.
     caller.send(b"d\x00\x00\x00\x05x", b"c\x00\x00\x00\x04")
-    assert join_kinds(await caller.send_and_read(run(COUNT), SYNC)) == "12TDCZ"
+    assert (
+        join_kinds(await caller.send_and_read(parse_and_execute(COUNT), SYNC))
+        == "12TDCZ"
+    )
 
 
 async def test_several_syncs_in_one_send(proxy):
     caller = await proxy.start_wire()
-    caller.send(run(COUNT), SYNC, run(b"SELECT nowhere"), SYNC, run(COUNT), SYNC)
+    caller.send(
+        parse_and_execute(COUNT),
+        SYNC,
+        parse_and_execute(b"SELECT nowhere"),
+        SYNC,
+        parse_and_execute(COUNT),
+        SYNC,
+    )
     assert join_kinds(await caller.read_until_ready()) == "12TDCZ"
     assert "E" in join_kinds(await caller.read_until_ready())
     assert join_kinds(await caller.read_until_ready()) == "12TDCZ"
 
 
-async def test_a_portal_is_read_in_parts_within_a_transaction(proxy):
+async def test_portal_is_read_in_parts_within_transaction(proxy):
     caller = await proxy.start_wire()
     for request in (b"a", b"b", b"c"):
-        await caller.send_and_read(run(INSERT % request), SYNC)
+        await caller.send_and_read(parse_and_execute(INSERT % request), SYNC)
     await caller.query("BEGIN")
     sql = b"SELECT request FROM bookings"
     frames = await caller.send_and_read(
@@ -248,12 +265,12 @@
     assert join_kinds(await caller.send_and_read(execute(b"p", 2), SYNC)) == "DCZ"
 
 
-async def test_a_keyed_pipeline_runs_once(proxy):
+async def test_keyed_pipeline_runs_once(proxy):
     caller = await proxy.start_wire()
     for number in range(2):
         await caller.query("SET ebonyrack.idempotency_key = 'k'")
         frames = await caller.send_and_read(
-            run(INSERT % b"a"), run(INSERT % b"b"), SYNC
+            parse_and_execute(INSERT % b"a"), parse_and_execute(INSERT % b"b"), SYNC
         )
         assert join_kinds(frames) == "12nC12nCSSZ"
         assert (b"C", b"INSERT 0 1\x00") in frames
@@ -269,7 +286,10 @@
             sql = b"SELECT %d" % number
             name = b"s%d" % number
             assert (
-                join_kinds(await caller.send_and_read(run(sql, name), SYNC)) == "12TDCZ"
+                join_kinds(
+                    await caller.send_and_read(parse_and_execute(sql, name), SYNC)
+                )
+                == "12TDCZ"
             )
         assert len(proxy.sessions[0].connection.prepared) <= MAXIMUM_PREPARED
         assert (
--- a/ebonyrack/callers/position_query.py
+++ b/ebonyrack/callers/position_query.py
@@ -1,4 +1,4 @@
-"""Questions for a log position, sent with a request, and their answers."""
+"""Queries for a log position, which are sent with a request, and their results."""
 
 from __future__ import annotations
 
@@ -28,27 +28,27 @@
 
 
 async def read_last_commit(session: CallerSession, query: str) -> LogPosition:
-    """Read the answer to a question for the last commit that was sent already.
+    """Read the result of a query for the last commit that was sent before.
 
     Args:
         session: A session that holds a connection.
-        query: The query, asked again if a late cancel request hit it.
+        query: The query, which is sent again if a late cancel request cancelled it.
 
     Returns:
-        The position; LOG_START if the connection never committed anything.
+        The position; LOG_START if the connection has never committed anything.
 
     Raises:
-        UpstreamLostError: If there is no answer.
+        UpstreamLostError: If there is no valid reply.
     """
     connection = session.connection
     assert connection is not None
     limit_s = session.group.section.answer_wait_s
-    answer = await session.read_query_result()
-    if answer.error is not None:
-        answer = await connection.query(query, limit_s)
-    if answer.error is not None or not answer.rows:
+    result = await session.read_query_result()
+    if result.error is not None:
+        result = await connection.query(query, limit_s)
+    if result.error is not None or not result.rows:
         raise UpstreamLostError("the position of the commit can't be read")
-    text = answer.rows[0][0]
+    text = result.rows[0][0]
     try:
         return parse_position(text) if text else LOG_START
     except ValueError as error:
@@ -56,19 +56,19 @@
 
 
 def build_position_query(session: CallerSession) -> bytes:
-    """Build the question for the position that the upstream's log has reached.
+    """Build the query for the position that the upstream's log has reached.
 
     Args:
         session: The session.
 
     Returns:
-        The frame, to be sent behind a read.
+        The frame, to be sent together with a read.
     """
     return build_query(get_contract(session).build_poll(LOG_START, 0))
 
 
 async def read_position(session: CallerSession) -> LogPosition:
-    """Read the answer to the question for the position that was sent already.
+    """Read the position from the result of a position query that was sent before.
 
     Args:
         session: A session that holds a connection.
@@ -77,60 +77,60 @@
         A position that covers everything that was read on the connection so far.
 
     Raises:
-        UpstreamLostError: If there is no answer.
+        UpstreamLostError: If there is no valid reply.
     """
-    answer = await session.read_query_result()
-    return read_polled_position(get_contract(session), answer)
+    result = await session.read_query_result()
+    return parse_polled_position(get_contract(session), result)
 
 
 async def read_status(session: CallerSession) -> UpstreamStatus | None:
-    """Read the answer to the question for the position that was sent already.
+    """Read the status from the result of a position query that was sent before.
 
     Args:
         session: A session that holds a connection.
 
     Returns:
-        The status, or None if the upstream answered an error.
+        The status, or None if the upstream replied with an error.
 
     Raises:
-        UpstreamLostError: If there is no answer or it has another form.
+        UpstreamLostError: If there is no reply or it can't be parsed.
     """
-    answer = await session.read_query_result()
-    if answer.error is not None:
+    result = await session.read_query_result()
+    if result.error is not None:
         return None
-    return read_polled_status(get_contract(session), answer)
+    return parse_polled_status(get_contract(session), result)
 
 
-def read_polled_position(
-    contract: EbonyrackContract, answer: QueryResult
+def parse_polled_position(
+    contract: EbonyrackContract, result: QueryResult
 ) -> LogPosition:
-    """Read the received position from the answer to a poll.
+    """Extract the received position from the result of a poll.
 
     Args:
         contract: Contract of the group.
-        answer: The answer.
+        result: Result of the poll.
 
     Raises:
-        UpstreamLostError: If the answer is an error or has another form.
+        UpstreamLostError: If the result is an error or can't be parsed.
     """
-    return read_polled_status(contract, answer).received
+    return parse_polled_status(contract, result).received
 
 
-def read_polled_status(
-    contract: EbonyrackContract, answer: QueryResult
+def parse_polled_status(
+    contract: EbonyrackContract, result: QueryResult
 ) -> UpstreamStatus:
-    """Read the answer to a poll.
+    """Extract the status from the result of a poll.
 
     Args:
         contract: Contract of the group.
-        answer: The answer.
+        result: Result of the poll.
 
     Raises:
-        UpstreamLostError: If the answer is an error or has another form.
+        UpstreamLostError: If the result is an error or can't be parsed.
     """
-    if answer.error is not None or not answer.rows:
+    if result.error is not None or not result.rows:
         raise UpstreamLostError("the position can't be read")
     try:
-        return contract.parse_status(answer.rows[0])
+        return contract.parse_status(result.rows[0])
     except (ValueError, TypeError) as error:
         raise UpstreamLostError(f"the position can't be read: {error}") from error
--- a/ebonyrack/callers/read_steps.py
+++ b/ebonyrack/callers/read_steps.py
@@ -1,4 +1,4 @@
-"""Steps that all reads outside a transaction share, and how a read can fail."""
+"""Steps and errors shared by all reads outside a transaction."""
 
 from __future__ import annotations
 
@@ -13,17 +13,17 @@
     from ebonyrack.upstreams.connection import UpstreamConnection
     from ebonyrack.upstreams.upstream import Upstream
 
-# What a replica answers to a statement that writes after all.
+# A replica rejects a write with this error (read_only_sql_transaction).
 READ_ONLY_SQLSTATE = "25006"
 
 
 class ReadInterruptedError(Exception):
-    """A read whose answer did not come, or not whole.
+    """The answer to a read did not arrive, or only in part.
 
     Attributes:
-        upstream_name: The upstream that was to serve it.
-        reason: What happened.
-        has_sent: Whether a part of the answer has gone to the caller.
+        upstream_name: Upstream that should have served the read.
+        reason: Why the upstream was lost.
+        has_sent: Whether part of the answer has been sent to the caller.
     """
 
     def __init__(self, upstream_name: str, reason: str, has_sent: bool) -> None:
@@ -34,13 +34,13 @@
 
 
 class MisclassifiedWriteError(Exception):
-    """A statement taken for a read that an upstream refused as a write."""
+    """A statement classified as a read was rejected by an upstream as a write."""
 
 
 async def acquire_for_read(
     session: CallerSession, upstream: Upstream, deadline_s: float
 ) -> None:
-    """Take a connection for a read.
+    """Acquire a connection for a read.
 
     Args:
         session: The session, which holds the connection afterwards.
@@ -49,7 +49,7 @@
 
     Raises:
         ReadInterruptedError: If the upstream can't be reached.
-        RequestError: If no connection comes free in time.
+        RequestError: If no connection becomes free in time.
     """
     try:
         await acquire_connection(session, upstream, deadline_s)
@@ -60,13 +60,13 @@
 def report_interrupted_read(
     session: CallerSession, upstream: Upstream, error: UpstreamLostError, has_sent: bool
 ) -> ReadInterruptedError:
-    """Report an upstream as lost and build the error of its read.
+    """Report the loss of an upstream and build the error of its read.
 
     Args:
         session: The session.
         upstream: The upstream.
-        error: How it was lost.
-        has_sent: Whether a part of the answer has gone to the caller.
+        error: Error with which it was lost.
+        has_sent: Whether part of the answer has been sent to the caller.
     """
     session.group.report_connection_lost(upstream.name, error.reason)
     return ReadInterruptedError(upstream.name, error.reason, has_sent)
@@ -76,21 +76,21 @@
     """Raise UpstreamLostError if a read ended on a primary.
 
     Args:
-        connection: The connection that served it.
+        connection: The connection that served the read.
     """
     if connection.is_standby is False:
         raise UpstreamLostError("the replica became primary during the read")
 
 
 def finish_read(session: CallerSession, relay: Relay) -> None:
-    """Give the connection of a read back.
+    """Release the connection of a read.
 
     Args:
         session: The session.
-        relay: The relay, run to its end.
+        relay: Relay of the whole answer.
 
     Raises:
-        MisclassifiedWriteError: If the upstream refused the statement as a write.
+        MisclassifiedWriteError: If the upstream rejected the statement as a write.
     """
     if relay.sqlstate == READ_ONLY_SQLSTATE and not relay.has_sent:
         raise MisclassifiedWriteError
--- a/ebonyrack/callers/reading.py
+++ b/ebonyrack/callers/reading.py
@@ -1,4 +1,4 @@
-"""Reads outside a transaction: placed on an upstream, relayed, tried once more."""
+"""Reads outside a transaction: placed on an upstream, relayed and retried once."""
 
 from __future__ import annotations
 
@@ -30,10 +30,9 @@
 
 
 async def run_read(session: CallerSession, request: Request) -> bool:
-    """Serve a read, tried again on another upstream if the first one is lost.
+    """Serve a read, retrying it on another upstream if the first one is lost.
 
-    An answer that was asked for before the read index was known, and dropped, does
-    not count as a try.
+    An overlapped read whose answer was dropped does not count as an attempt.
 
     Args:
         session: The session.
@@ -43,11 +42,11 @@
         Whether the upstream answered without an error.
 
     Raises:
-        RequestError: If no whole answer could be given.
+        RequestError: If no complete answer could be given.
     """
     deadline_s = now_s() + session.group.section.queue_wait_s
     try:
-        return await read_once(session, request, deadline_s, frozenset())
+        return await attempt_read(session, request, deadline_s, frozenset())
     except ReadInterruptedError as error:
         if error.has_sent:
             raise RequestError(ErrorKind.ANSWER_CUT, error.reason) from error
@@ -55,7 +54,7 @@
     except MisclassifiedWriteError:
         return await run_write(session, request)
     try:
-        return await read_once(session, request, deadline_s, excluded)
+        return await attempt_read(session, request, deadline_s, excluded)
     except ReadInterruptedError as error:
         kind = ErrorKind.ANSWER_CUT if error.has_sent else ErrorKind.UPSTREAM_LOST
         raise RequestError(kind, error.reason) from error
@@ -63,7 +62,7 @@
         return await run_write(session, request)
 
 
-async def read_once(
+async def attempt_read(
     session: CallerSession,
     request: Request,
     deadline_s: float,
@@ -75,14 +74,14 @@
         session: The session.
         request: What to send.
         deadline_s: Monotonic time by which it must have been sent, in seconds.
-        excluded: Names of upstreams that are not to serve it.
+        excluded: Names of upstreams that must not serve it.
 
     Returns:
         Whether the upstream answered without an error.
 
     Raises:
         ReadInterruptedError: If the upstream was lost.
-        MisclassifiedWriteError: If it is no read.
+        MisclassifiedWriteError: If it is a write.
         RequestError: If it can't be served.
     """
     group = session.group
@@ -106,20 +105,20 @@
 async def relay_read(
     session: CallerSession, request: Request, placement: ReadPlacement
 ) -> bool:
-    """Send a read on the connection held and relay its answer.
+    """Send a read on the held connection and relay its answer.
 
     Args:
         session: The session, which holds a connection.
         request: What to send.
-        placement: Where the read was placed and on what terms.
+        placement: Placement of the read.
 
     Returns:
         Whether the upstream answered without an error.
 
     Raises:
         ReadInterruptedError: If the upstream was lost.
-        MisclassifiedWriteError: If it is no read.
-        RequestError: POSITION_NOT_REACHED if what it saw was not confirmed.
+        MisclassifiedWriteError: If it is a write.
+        RequestError: POSITION_NOT_REACHED if the data that it read was not confirmed.
     """
     connection = session.connection
     assert connection is not None
--- a/ebonyrack/callers/recorded_answer.py
+++ b/ebonyrack/callers/recorded_answer.py
@@ -1,4 +1,4 @@
-"""Answers recorded under an idempotency key, given again to a repeat."""
+"""Answers recorded under an idempotency key and replayed to repeated requests."""
 
 from __future__ import annotations
 
@@ -20,23 +20,24 @@
 
 COMMIT_TAG = "COMMIT"
 TAG_SEPARATOR = "\n"
-# No list of command tags starts with it.
+# Marks a packed answer, as no list of command tags starts with it.
 PACKED_PREFIX = "answer:"
 MAXIMUM_PACKED_BYTES = 8 * 1024
-# ParameterDescription, RowDescription and DataRow: what tags alone can't tell.
+# ParameterDescription, RowDescription and DataRow, which tags alone can't replace.
 DESCRIBING_KINDS = frozenset({b"t", b"T", b"D"})
-# With NoData, CommandComplete, EmptyQueryResponse and PortalSuspended.
+# These and NoData, CommandComplete, EmptyQueryResponse and PortalSuspended.
 RECORDED_KINDS = DESCRIBING_KINDS | {b"n", b"C", b"I", b"s"}
 
 
 @dataclass(frozen=True, slots=True)
 class RecordedAnswer:
-    """What the first request with a key was told.
+    """Answer to the first request with an idempotency key.
 
     Attributes:
         tags: Command tag of each command.
-        fingerprint: What a repeat must match to get the frames; empty without them.
-        frames: Frames of the answer; empty if the tags tell all.
+        fingerprint: Value that a repeat must match to get the frames; empty if there
+            are none.
+        frames: Frames of the answer; empty if the tags are sufficient.
     """
 
     tags: tuple[str, ...]
@@ -47,19 +48,19 @@
 def build_recorded_answer(
     application: str, request: Request, relay: Relay
 ) -> RecordedAnswer:
-    """Make the record of an answer that is still held.
+    """Build the record of an answer that is still held back.
 
     Args:
         application: The caller's application.
         request: The request.
-        relay: Its answer, up to ReadyForQuery and without an error.
+        relay: Relay of its answer, up to ReadyForQuery and without an error.
 
     Returns:
         The record.
 
     Raises:
-        RequestError: UNSUPPORTED if part of the answer has gone to the caller, since
-            it was too large to be held.
+        RequestError: UNSUPPORTED if part of the answer has been sent to the caller,
+            as it was too large to be held back.
     """
     if relay.has_sent:
         raise build_too_large_error(FLUSH_BYTES)
@@ -73,23 +74,23 @@
 
 
 def build_fingerprint(application: str, request: Request) -> bytes:
-    """Make what a repeat must have in common with the request that was answered.
+    """Build the value that a repeat must share with the answered request.
 
     Args:
         application: The caller's application; no other one gets its rows.
         request: The request.
 
     Returns:
-        The form.
+        The fingerprint.
     """
     return application.encode() + b"\x00" + request.answer_format
 
 
 def split_frames(data: bytes | bytearray) -> Iterator[bytes]:
-    """Split whole frames.
+    """Split a sequence of whole frames.
 
     Args:
-        data: The frames.
+        data: The sequence.
 
     Yields:
         Each frame.
@@ -103,16 +104,16 @@
 
 
 def encode_answer(answer: RecordedAnswer) -> str:
-    """Encode an answer for the key's row.
+    """Encode an answer for storage in the key's row.
 
     Args:
         answer: The answer.
 
     Returns:
-        The tags alone if they tell all, else a prefix and packed bytes.
+        The tags alone if they are sufficient, else a prefix and the packed answer.
 
     Raises:
-        RequestError: UNSUPPORTED if it is too large to be kept.
+        RequestError: UNSUPPORTED if it is too large to be stored.
     """
     if not answer.frames:
         return TAG_SEPARATOR.join(answer.tags)
@@ -123,10 +124,10 @@
 
 
 def decode_answer(text: str) -> RecordedAnswer:
-    """Decode what `encode_answer` built.
+    """Decode an answer that `encode_answer` has encoded.
 
     Args:
-        text: Outcome in the key's row.
+        text: Outcome stored in the key's row.
 
     Returns:
         The answer.
@@ -140,25 +141,25 @@
         packed = base64.b64decode(text.removeprefix(PACKED_PREFIX), validate=True)
         tags, fingerprint, frames = msgpack.unpackb(packed)
     except (ValueError, TypeError, msgpack.exceptions.UnpackException) as error:
-        reason = f"its answer can't be read: {error}"
+        reason = f"its recorded answer can't be decoded: {error}"
         raise RequestError(ErrorKind.ALREADY_RAN, reason) from error
     return RecordedAnswer(tuple(tags), fingerprint, tuple(frames))
 
 
 def build_repeated_answer(application: str, request: Request, outcome: str) -> bytes:
-    """Build the answer to the repeat of a request that ran earlier.
+    """Build the answer to a repeated request from the recorded outcome.
 
     Args:
         application: The caller's application.
-        request: The repeat.
-        outcome: Outcome in the key's row.
+        request: The repeated request.
+        outcome: Outcome stored in the key's row.
 
     Returns:
         The frames.
 
     Raises:
-        RequestError: ALREADY_RAN if the earlier request was a transaction, or the
-            repeat has another form and would get rows that it can't read.
+        RequestError: ALREADY_RAN if the earlier request was a transaction, or if the
+            repeat has another fingerprint and must not get the recorded rows.
     """
     answer = decode_answer(outcome)
     if not answer.frames:
@@ -173,16 +174,16 @@
 
 
 def build_too_large_error(size_bytes: int) -> RequestError:
-    """Build the error for an answer that can't be kept; nothing is committed.
+    """Build the error for an answer too large to record; nothing is committed.
 
     Args:
-        size_bytes: Its size, or that of a part of it.
+        size_bytes: Size of the answer or of a part of it.
 
     Returns:
         The error.
     """
     reason = (
         f"the rows of the answer take {size_bytes} bytes or more,"
-        f" {MAXIMUM_PACKED_BYTES} are kept with an idempotency key"
+        f" {MAXIMUM_PACKED_BYTES} can be recorded with an idempotency key"
     )
     return RequestError(ErrorKind.UNSUPPORTED, reason)
--- a/ebonyrack/callers/recorded_answer_test.py
+++ b/ebonyrack/callers/recorded_answer_test.py
@@ -1,4 +1,4 @@
-"""A repeat under an idempotency key gets the answer that the first request got."""
+"""A repeated request with an idempotency key gets the answer to the first one."""
 
 import asyncio
 
@@ -36,11 +36,11 @@
     "INSERT INTO bookings (slot, booker, request) VALUES (7, 'me', 'only-once')"
     " RETURNING slot, booker, random()"
 )
-SELECT_NONE = "UPDATE bookings SET slot = 1 WHERE slot = -1 RETURNING booker"
-# The same request in the forms in which drivers send it.
+UPDATE_NONE = "UPDATE bookings SET slot = 1 WHERE slot = -1 RETURNING booker"
+# The same request in the forms that drivers send.
 FORMS = {
     "simple": (Query(query_string=INSERT).to_wire(),),
-    "two commands": (Query(query_string=f"{INSERT}; {SELECT_NONE}").to_wire(),),
+    "two commands": (Query(query_string=f"{INSERT}; {UPDATE_NONE}").to_wire(),),
     "unnamed": (parse(b"", INSERT.encode()), bind(b""), describe(b"P", b"")),
     "named": (parse(b"s", INSERT.encode()), describe(b"S", b"s"), bind(b"s")),
     "not described": (parse(b"s", INSERT.encode()), bind(b"s")),
@@ -50,8 +50,8 @@
 EACH_FORM = pytest.mark.parametrize("form", FORMS)
 
 
-async def ask_keyed(caller, form):
-    """Send a request under the key; return its answer and what was said beside it."""
+async def send_keyed(caller, form):
+    """Send a request with the key; return its answer and reports of a replay."""
     await caller.query(SET_KEY)
     frames = await caller.send_and_read(*FORMS[form])
     answer = [frame for frame in frames if frame[0] != b"S"]
@@ -62,24 +62,24 @@
 
 
 @EACH_FORM
-async def test_a_repeat_gets_the_same_answer(proxy, form):
+async def test_repeat_gets_same_answer(proxy, form):
     caller = await proxy.start_wire()
-    first, said = await ask_keyed(caller, form)
-    assert join_kinds(first).count("D") == 1 and said == [
+    first, replayed = await send_keyed(caller, form)
+    assert join_kinds(first).count("D") == 1 and replayed == [
         b"ebonyrack.replayed\x00off\x00"
     ]
-    assert await ask_keyed(caller, form) == (first, [b"ebonyrack.replayed\x00on\x00"])
+    assert await send_keyed(caller, form) == (first, [b"ebonyrack.replayed\x00on\x00"])
     assert proxy.count_rows(PRIMARY, REQUEST) == 1
 
 
 @EACH_FORM
-async def test_a_repeat_after_a_lost_answer_gets_the_rows(proxy, form):
+async def test_repeat_after_lost_answer_gets_rows(proxy, form):
     proxy.standins.lose_commit_answers(PRIMARY)
     caller = await proxy.start_wire()
-    first, _ = await ask_keyed(caller, form)
+    first, _ = await send_keyed(caller, form)
     assert find_error(first)[0] == "08007"
-    second, said = await ask_keyed(caller, form)
-    assert said == [b"ebonyrack.replayed\x00on\x00"]
+    second, replayed = await send_keyed(caller, form)
+    assert replayed == [b"ebonyrack.replayed\x00on\x00"]
     assert join_kinds(second).count("D") == 1 and any(
         b"me" in item[1] for item in second
     )
@@ -88,56 +88,54 @@
 
 
 @EACH_FORM
-async def test_two_proxies_at_once_give_one_answer(proxy, form):
+async def test_concurrent_requests_through_two_proxies_get_same_answer(proxy, form):
     section = proxy.group.section
     async with serve_group(proxy.standins, section, {}, {}) as other:
         callers = [await one.start_wire() for one in (proxy, other)]
-        answers = await asyncio.gather(*(ask_keyed(one, form) for one in callers))
+        answers = await asyncio.gather(*(send_keyed(one, form) for one in callers))
     assert answers[0][0] == answers[1][0] and join_kinds(answers[0][0]).count("D") == 1
-    assert sorted(said[0][-3:-1] for _, said in answers) == [b"ff", b"on"]
+    assert sorted(replayed[0][-3:-1] for _, replayed in answers) == [b"ff", b"on"]
     assert proxy.count_rows(PRIMARY, REQUEST) == 1
 
 
 @pytest.mark.parametrize("form", ["simple", "unnamed"])
-async def test_another_form_is_told_that_it_ran(proxy, form):
+async def test_repeat_in_other_form_is_rejected_as_already_run(proxy, form):
     caller = await proxy.start_wire()
-    await ask_keyed(caller, "not described")
-    sqlstate, detail = find_error((await ask_keyed(caller, form))[0])
+    await send_keyed(caller, "not described")
+    sqlstate, detail = find_error((await send_keyed(caller, form))[0])
     assert sqlstate == "23505" and detail.startswith("ran=yes")
     assert proxy.count_rows(PRIMARY, REQUEST) == 1
 
 
 def test_another_application_gets_no_rows():
     request = SimpleRequest(FORMS["simple"][0])
-    form = build_fingerprint("booking", request)
-    outcome = encode_answer(RecordedAnswer(("INSERT 0 1",), form, (b"rows",)))
+    fingerprint = build_fingerprint("booking", request)
+    outcome = encode_answer(RecordedAnswer(("INSERT 0 1",), fingerprint, (b"rows",)))
     assert build_repeated_answer("booking", request, outcome) == b"rows"
     with pytest.raises(RequestError) as caught:
         build_repeated_answer("feeds", request, outcome)
     assert caught.value.kind is ErrorKind.ALREADY_RAN
 
 
-async def test_a_lone_repeat_of_a_transaction_is_told_that_it_ran(proxy):
+async def test_single_statement_repeating_transaction_is_rejected_as_already_run(proxy):
     caller = await proxy.start_wire()
     for sql in (SET_KEY, "BEGIN", INSERT, "COMMIT"):
         await caller.query(sql)
-    sqlstate, detail = find_error((await ask_keyed(caller, "simple"))[0])
+    sqlstate, detail = find_error((await send_keyed(caller, "simple"))[0])
     assert sqlstate == "23505" and detail.startswith("ran=yes")
 
 
-async def test_a_transaction_after_a_lone_request_is_told_its_tag(proxy):
+async def test_transaction_repeating_single_statement_gets_its_tag(proxy):
     caller = await proxy.start_wire()
-    await ask_keyed(caller, "simple")
+    await send_keyed(caller, "simple")
     for sql in (SET_KEY, "BEGIN"):
         await caller.query(sql)
-    sqlstate, detail = find_error(await caller.query(SELECT_NONE))
+    sqlstate, detail = find_error(await caller.query(UPDATE_NONE))
     assert sqlstate == "23505" and detail.endswith("outcome INSERT 0 1")
 
 
 @pytest.mark.parametrize("value_bytes", [MAXIMUM_PACKED_BYTES, 60_000])
-async def test_rows_that_can_not_be_kept_are_refused_before_the_commit(
-    proxy, value_bytes
-):
+async def test_too_large_rows_are_refused_before_commit(proxy, value_bytes):
     caller = await proxy.start_wire()
     long = INSERT.replace("me", "x" * value_bytes)
     await caller.query(SET_KEY)
@@ -154,16 +152,16 @@
     assert proxy.count_rows(PRIMARY, REQUEST) == 1
 
 
-async def test_a_repeat_prepares_its_statement(proxy):
+async def test_repeat_prepares_its_statement(proxy):
     first, second = [await proxy.start_wire() for _ in range(2)]
-    await ask_keyed(first, "named")
-    await ask_keyed(second, "named")
-    # The name is known: the database refuses the doubled booking itself.
+    await send_keyed(first, "named")
+    await send_keyed(second, "named")
+    # The statement is prepared: the database itself rejects the duplicate booking.
     frames = await second.send_and_read(bind(b"s"), execute(), SYNC)
     assert find_error(frames)[0] == "23505" and proxy.count_rows(PRIMARY, REQUEST) == 1
 
 
-async def test_psycopg_and_asyncpg_get_their_rows_again(proxy):
+async def test_psycopg_and_asyncpg_repeats_get_same_rows(proxy):
     address = proxy.listener.address
     sql = "INSERT INTO bookings (slot, request) VALUES ({}) RETURNING slot, request"
     seen = []
@@ -189,16 +187,16 @@
     st.binary(max_size=16),
     st.lists(st.binary(min_size=1, max_size=50)),
 )
-def test_what_is_encoded_is_decoded(tags, form, frames):
+def test_decoding_reverses_encoding(tags, fingerprint, frames):
     if not frames:
-        form = b""
+        fingerprint = b""
         tags = [tag.replace("\n", "").removeprefix("answer:") for tag in tags]
-    answer = RecordedAnswer(tuple(tags), form, tuple(frames))
+    answer = RecordedAnswer(tuple(tags), fingerprint, tuple(frames))
     assert decode_answer(encode_answer(answer)) == answer
 
 
 @pytest.mark.parametrize("text", ["answer:", "answer:!", "answer:kQ==", "answer:kwEC"])
-def test_a_damaged_record_says_only_that_it_ran(text):
+def test_damaged_record_is_reported_as_already_run(text):
     with pytest.raises(RequestError) as caught:
         decode_answer(text)
     assert caught.value.kind is ErrorKind.ALREADY_RAN
--- a/ebonyrack/callers/relay.py
+++ b/ebonyrack/callers/relay.py
@@ -1,4 +1,4 @@
-"""Relay of one answer from an upstream to a caller, as the bytes that arrived."""
+"""Relays an answer from an upstream to a caller, byte for byte."""
 
 from __future__ import annotations
 
@@ -23,31 +23,32 @@
 COMPLETING_KINDS = frozenset({b"1", b"2", b"3", b"n", b"T", b"C", b"I", b"s"})
 COMMAND_KINDS = frozenset({b"C", b"I", b"s"})
 COPY_KINDS = frozenset({b"G", b"H", b"W"})
-# NotificationResponse belongs to a LISTEN, which sessions here can't have.
+# NotificationResponse, which only follows a LISTEN; that is not supported here.
 DROPPED_KINDS = frozenset({b"A"})
 TAG_OFFSET = 5
 # The tables of a prepared statement have changed (feature_not_supported), or the
-# connection's memory of what it has prepared is wrong (duplicate_prepared_statement).
+# proxy's record of the connection's prepared statements is wrong
+# (duplicate_prepared_statement).
 STALE_SQLSTATES = frozenset({"0A000", "42P05"})
 
 
 class Relay:
-    """Collects and passes on the answer to one exchange.
+    """Collects the answer to one exchange and sends it to the caller.
 
-    The end of the answer stays in `output` until the caller of `run` decides about
-    it; with `hold_completed`, all from the first CommandComplete on stays there.
+    The end of the answer stays in `output` for the code that called `run` to send or
+    drop; with `hold_completed`, so does all from the first CommandComplete on.
 
     Attributes:
         session: The caller's session.
         connection: The upstream connection that answers.
-        hold_completed: Whether completed commands are kept back.
-        steps: Steps still to come, or None for a simple query.
-        output: Frames that have not gone to the caller.
-        has_sent: Whether any frame has gone to the caller.
-        is_held: Whether frames are kept back by now.
+        hold_completed: Whether the answers to completed commands are held back.
+        steps: Steps still expected, or None for a simple query.
+        output: Frames that have not been sent to the caller.
+        has_sent: Whether any frame has been sent to the caller.
+        is_held: Whether frames are held back from now on.
         error: ErrorResponse frame of the upstream, or None.
-        completed_commands: Commands that the upstream has completed.
-        tags: Their command tags, kept only with `hold_completed`.
+        completed_commands: Number of commands that the upstream has completed.
+        tags: Their command tags, recorded only with `hold_completed`.
     """
 
     __slots__ = (
@@ -87,11 +88,11 @@
         return "" if self.error is None else extract_sqlstate(self.error)
 
     async def run(self) -> None:
-        """Relay up to ReadyForQuery, which is not passed on.
+        """Relay the answer up to ReadyForQuery, which is not passed on.
 
         Raises:
             UpstreamLostError: If the upstream is lost before ReadyForQuery, or
-                the answer is one that can't be passed on.
+                the answer can't be passed on.
         """
         self.add_local_steps()
         while True:
@@ -105,7 +106,7 @@
                 await self.flush()
 
     async def flush(self) -> None:
-        """Pass on what has been collected, unless it is held."""
+        """Send the collected frames to the caller unless they are held back."""
         if self.is_held:
             self.check_held_size()
             return
@@ -115,23 +116,23 @@
         await self.session.drain_output()
 
     def check_held_size(self) -> None:
-        """Give up on an answer that is too large to hold.
+        """Close the connection if its answer is too large to be held back.
 
         Raises:
-            UpstreamLostError: If it is; the connection is closed.
+            UpstreamLostError: If it is too large.
         """
         if len(self.output) > self.session.settings.maximum_message_bytes:
             self.connection.close()
-            raise UpstreamLostError("the answer is too large to be held")
+            raise UpstreamLostError("the answer is too large to be held back")
 
     def process_message(self, message: Message) -> None:
-        """Take one message of the answer.
+        """Process one message of the answer.
 
         Args:
             message: A message other than ReadyForQuery.
 
         Raises:
-            UpstreamLostError: For data of a COPY to the caller.
+            UpstreamLostError: For a COPY to the caller.
         """
         kind = message.kind
         if kind == b"D":
@@ -144,7 +145,7 @@
             self.process_completion(message)
 
     def process_error(self, message: Message) -> None:
-        """Keep an error; the upstream skips all further steps.
+        """Record an error, after which the upstream skips all further steps.
 
         Args:
             message: The ErrorResponse.
@@ -158,10 +159,10 @@
                 self.session.has_stale_statements = True
 
     def process_completion(self, message: Message) -> None:
-        """Take a message that may complete a step.
+        """Process a message that may complete a step.
 
         Args:
-            message: Any other message.
+            message: A message of any kind that isn't processed otherwise.
         """
         kind = message.kind
         if kind in COMMAND_KINDS:
@@ -181,22 +182,23 @@
         self.output += message.raw
 
     def add_local_steps(self) -> None:
-        """Add the answers that the proxy gives itself, in their places."""
+        """Add the answers to the local steps that come next."""
         while self.steps and self.steps[0].completion is Completion.LOCAL:
             step = self.steps.popleft()
             step.is_done = True
             self.output += step.frame
 
     def reject_copy(self, message: Message) -> None:
-        """End a COPY that was not recognised in time.
+        """Reject a COPY that was not recognised before it was sent.
 
-        A copy from the caller is failed, so that the upstream answers the rest.
+        A copy from the caller is ended by CopyFail, so that the upstream answers the
+        rest.
 
         Args:
             message: CopyInResponse, CopyOutResponse or CopyBothResponse.
 
         Raises:
-            UpstreamLostError: For copies to the caller; the connection is closed.
+            UpstreamLostError: For a copy to the caller; the connection is closed.
         """
         if message.kind == b"G":
             self.connection.send(CopyFail(error_message="not supported").to_wire())
--- a/ebonyrack/callers/transaction.py
+++ b/ebonyrack/callers/transaction.py
@@ -1,4 +1,4 @@
-"""A caller's explicit transaction and the upstream connection that it holds."""
+"""A caller's transaction and the upstream connection that it holds."""
 
 from __future__ import annotations
 
@@ -34,9 +34,9 @@
 class Transaction:
     """The transaction of one session, if there is one.
 
-    BEGIN is answered at once and reaches an upstream together with the first
-    statement, so that a connection is held only while it is needed. What fails on
-    the proxy's side rolls back: the status is then `E` without a connection.
+    BEGIN is answered at once and sent to an upstream only with the first statement,
+    so that a connection is held only while it is needed. An error on the proxy's side
+    rolls the transaction back: the status is then `E` without a connection.
 
     Attributes:
         session: The session.
@@ -45,9 +45,10 @@
         is_read_only: Whether a replica may serve it.
         is_implicit: Whether the proxy opened it for a pipeline of the caller.
         has_written: Whether a statement was sent that may write.
-        needs_confirmation: Whether it reads from a primary whose answers wait.
-        needs_replica: Whether it reads from a replica; one that was promoted
-            meanwhile needs confirmation too.
+        needs_confirmation: Whether a majority must hold the data that it has read
+            before its commit is answered.
+        needs_replica: Whether it reads from a replica; if that was promoted
+            meanwhile, the data needs confirmation too.
         key: Idempotency key of the transaction, or an empty string.
         pending_error: Error to answer the next statement with, or None.
     """
@@ -71,7 +72,7 @@
         self.reset()
 
     def reset(self) -> None:
-        """Forget the transaction."""
+        """Set the state of a session without a transaction."""
         self.status = IDLE
         self.begin_sql = ""
         self.is_read_only = False
@@ -82,7 +83,7 @@
         self.key = ""
 
     def begin(self, sql: str, is_read_only: bool, is_implicit: bool = False) -> None:
-        """Start a transaction, without any upstream yet.
+        """Begin a transaction, without an upstream yet.
 
         Args:
             sql: Text of the BEGIN.
@@ -98,10 +99,10 @@
         self.session.variables.idempotency_key = ""
 
     def raise_pending_error(self) -> None:
-        """Raise the error that was met while the caller was idle.
+        """Raise the error that occurred while the caller was idle, if there is one.
 
         Raises:
-            RequestError: That error, once.
+            RequestError: That error, only once.
         """
         error, self.pending_error = self.pending_error, None
         if error is not None:
@@ -112,13 +113,14 @@
 
         Args:
             request: What to send.
-            is_read: Whether it surely writes nothing.
+            is_read: Whether it is known to write nothing.
 
         Returns:
             Whether it succeeded.
 
         Raises:
-            RequestError: If the proxy or the loss of the upstream ends it.
+            RequestError: If an error of the proxy or the loss of the upstream ends the
+                transaction.
         """
         session = self.session
         if session.connection is None:
@@ -141,7 +143,7 @@
         return relay.error is None
 
     def adopt(self) -> None:
-        """Go on with a transaction that the statements of one query have opened."""
+        """Continue a transaction that a query of several statements has left open."""
         connection = self.session.connection
         assert connection is not None
         self.reset()
@@ -149,7 +151,7 @@
         self.has_written = True
 
     def update_status(self) -> None:
-        """Take over the status that the upstream reported."""
+        """Update the status to what the upstream has reported."""
         connection = self.session.connection
         if connection is None:
             return
@@ -159,7 +161,7 @@
             self.reset()
 
     async def begin_on_upstream(self) -> None:
-        """Take a connection, begin on it and claim the idempotency key.
+        """Acquire a connection, begin on it and claim the idempotency key.
 
         Raises:
             RequestError: If no upstream can serve, or the key was used before.
@@ -169,7 +171,7 @@
             await self.acquire_read_connection()
         else:
             await acquire_primary_connection(session)
-            # It may read what no majority holds yet, also if it writes nothing.
+            # Even without writing, it may read data that no majority holds yet.
             self.needs_confirmation = session.group.section.read_policy == "quorum"
         if self.key:
             await self.claim_key()
@@ -178,7 +180,7 @@
         session.record_serving_upstream()
 
     async def acquire_read_connection(self) -> None:
-        """Take a connection of the upstream that is to serve the reads.
+        """Acquire a connection to the upstream that is chosen for the reads.
 
         Raises:
             RequestError: If no upstream can serve.
@@ -200,10 +202,11 @@
         self.needs_replica = placement.needs_replica
 
     async def claim_key(self) -> None:
-        """Begin and claim the idempotency key within the transaction.
+        """Begin the transaction and claim the idempotency key in it.
 
         Raises:
-            RequestError: ALREADY_RAN once a majority holds the earlier outcome.
+            RequestError: ALREADY_RAN if the key was used before, once a majority holds
+                the recorded outcome.
         """
         session = self.session
         outcome = await claim_session_key(session, self.key, self.begin_sql)
@@ -224,8 +227,8 @@
             Whether it succeeded.
 
         Raises:
-            RequestError: OUTCOME_UNKNOWN if the fate of the commit is not known,
-                UPSTREAM_LOST if it was surely not sent.
+            RequestError: OUTCOME_UNKNOWN if the outcome of the commit is not known,
+                UPSTREAM_LOST if it was certainly not sent.
         """
         session = self.session
         session.is_committing = True
@@ -239,7 +242,7 @@
                 return await commit_write(session, request, key)
             return await commit_read(session, request)
         except RequestError:
-            # The transaction is over for the caller, whatever became of it.
+            # The transaction is over for the caller, whatever its outcome.
             self.release()
             self.reset()
             raise
@@ -247,13 +250,13 @@
             session.is_committing = False
 
     def commit_without_upstream(self, request: Request) -> bool:
-        """Answer the COMMIT of a transaction that no upstream knows of.
+        """Answer the COMMIT of a transaction that is not open on any upstream.
 
         Args:
             request: The caller's COMMIT.
 
         Returns:
-            True, as in PostgreSQL, whose answer to a failed one is a ROLLBACK.
+            True, as in PostgreSQL, which answers ROLLBACK if the transaction failed.
         """
         tag = ROLLBACK_TAG if self.status == FAILED else COMMIT_TAG
         self.reset()
@@ -261,13 +264,13 @@
         return True
 
     async def roll_back(self, request: Request) -> bool:
-        """Roll back.
+        """Roll the transaction back.
 
         Args:
             request: The caller's ROLLBACK.
 
         Returns:
-            Whether it succeeded; it does unless the upstream says otherwise.
+            Whether it succeeded; False only if the upstream reports an error.
         """
         session = self.session
         if session.connection is None:
@@ -277,20 +280,20 @@
         try:
             return await self.run(request, is_read=True)
         except RequestError:
-            # A connection that is lost has rolled back as well.
+            # The loss of the connection has rolled the transaction back as well.
             self.reset()
             session.stream.write(request.build_replay([ROLLBACK_TAG]))
             return True
 
     def fail(self) -> None:
-        """Roll back after an error of the proxy."""
+        """Roll back after an error on the proxy's side."""
         if self.status == IDLE:
             return
         self.release()
         self.status = FAILED
 
     def release(self) -> None:
-        """Give the connection back; a transaction open on it is cut off."""
+        """Release the connection, closing it if a transaction is open on it."""
         session = self.session
         connection = session.connection
         if connection is not None and not connection.is_clean:
--- a/ebonyrack/callers/upstream_holder.py
+++ b/ebonyrack/callers/upstream_holder.py
@@ -1,4 +1,4 @@
-"""The upstream connection that a caller's session holds, and its waits."""
+"""The upstream connection that a caller's session holds, and the session's waits."""
 
 from __future__ import annotations
 
@@ -41,22 +41,24 @@
 
 
 class UpstreamHolder:
-    """The side of a session that faces the upstreams.
+    """Base of a session that manages its upstream connection.
 
-    A session holds at most one connection; nobody else uses it meanwhile.
+    A session holds at most one connection, which no other session uses meanwhile.
 
     Attributes:
-        services: Parts of the proxy.
+        services: Services of the proxy.
         identity: Who the caller is.
         variables: Session variables.
         upstream: Upstream whose connection the session holds, or None.
         connection: That connection, or None.
         phase: What the session waits for.
         phase_since_s: Monotonic time at which the wait began.
-        cancel_scope: Timeout that is expired to cancel a wait, or None.
-        is_committing: Whether a COMMIT was sent, which is not cancelled any more.
-        cancel_done: Set when a cancel request has reached the upstream, or None.
-        has_stale_statements: Whether the connection held is closed after use, since
+        cancel_scope: Timeout that is made to expire to cancel a wait before anything
+            was sent, or None.
+        is_committing: Whether a COMMIT is in progress, which is no longer cancelled.
+        cancel_done: Event that is set once a cancel request was forwarded to the
+            upstream, or None.
+        has_stale_statements: Whether the held connection must be closed after use, as
             its prepared statements can't be relied on.
     """
 
@@ -92,7 +94,7 @@
         """The session's database group.
 
         Raises:
-            RequestError: UNKNOWN_GROUP if the document has it no more.
+            RequestError: UNKNOWN_GROUP if it is no longer in the document.
         """
         group = self.services.groups.get(self.identity.group)
         if group is None:
@@ -110,7 +112,7 @@
         return self.services.settings.proxy
 
     def enter_phase(self, phase: SessionPhase) -> None:
-        """Note what the session waits for from now on.
+        """Record what the session waits for from now on.
 
         Args:
             phase: The phase.
@@ -136,16 +138,19 @@
         return message
 
     async def wait_for_pending_cancel(self) -> None:
-        """Let a cancel request strike before the next statement is sent."""
+        """Wait until a pending cancel request was forwarded.
+
+        Otherwise it could cancel the next statement.
+        """
         if self.cancel_done is not None:
             await self.cancel_done.wait()
             self.cancel_done = None
 
     async def read_query_result(self) -> QueryResult:
-        """Wait for the answer to a control query that was sent already.
+        """Wait for the result of a query of the proxy that was sent before.
 
         Returns:
-            The answer.
+            The result.
 
         Raises:
             UpstreamLostError: If the connection has ended.
@@ -160,13 +165,13 @@
         """Wait for something that a request needs before anything is sent for it.
 
         Args:
-            waiting: What to wait for; it keeps to the request's deadline itself.
+            waiting: What to wait for; it observes the request's deadline itself.
 
         Returns:
-            What the wait was for.
+            The result of `waiting`.
 
         Raises:
-            RequestError: CANCELLED if the caller asked for it.
+            RequestError: CANCELLED if the caller cancels the request.
         """
         try:
             async with asyncio.timeout(None) as self.cancel_scope:
@@ -179,7 +184,7 @@
     def hold_connection(
         self, upstream: Upstream, connection: UpstreamConnection
     ) -> None:
-        """Keep a connection that was taken from a pool.
+        """Hold a connection that was acquired from a pool.
 
         Args:
             upstream: Its upstream.
@@ -189,7 +194,7 @@
         self.connection = connection
 
     def release_connection(self) -> None:
-        """Give the connection back to its pool, which closes it if it isn't clean."""
+        """Release the connection to its pool, which closes it if it isn't clean."""
         upstream, connection = self.upstream, self.connection
         self.upstream = None
         self.connection = None
@@ -204,11 +209,11 @@
     def handle_upstream_lost(
         self, error: UpstreamLostError, kind: ErrorKind
     ) -> RequestError:
-        """Give up the connection held after the upstream was lost.
+        """Report the loss of the upstream, close and release the held connection.
 
         Args:
-            error: How it was lost.
-            kind: What that means for the request.
+            error: Error with which it was lost.
+            kind: Kind of the error for the request.
 
         Returns:
             The error to raise.
@@ -221,14 +226,14 @@
         return RequestError(kind, error.reason)
 
     def send_with_query(self, data: bytes, query: str) -> None:
-        """Send a request together with the question for the commit's position.
+        """Send a request together with the query for the commit's position.
 
         Args:
             data: Frames of the request.
             query: The query.
 
         Raises:
-            RequestError: UPSTREAM_LOST if nothing of it was sent.
+            RequestError: UPSTREAM_LOST if the connection has ended; nothing was sent.
         """
         assert self.connection is not None
         try:
@@ -237,7 +242,7 @@
             raise self.handle_upstream_lost(error, ErrorKind.UPSTREAM_LOST) from error
 
     def record_serving_upstream(self) -> None:
-        """Remember which upstream serves, for `SHOW ebonyrack.served_by`."""
+        """Record which upstream serves, for `SHOW ebonyrack.served_by`."""
         upstream = self.upstream
         if upstream is not None:
             is_primary = upstream.name == self.group.primary_name
--- a/ebonyrack/callers/upstream_steps.py
+++ b/ebonyrack/callers/upstream_steps.py
@@ -1,4 +1,4 @@
-"""Steps that sessions take with upstreams: acquire, control, confirm, acknowledge."""
+"""Steps of requests on upstreams: acquire connections, confirm reads and writes."""
 
 from __future__ import annotations
 
@@ -26,14 +26,14 @@
     from ebonyrack.upstreams.connection import UpstreamConnection
     from ebonyrack.upstreams.upstream import Upstream
 
-# A caller that comes back through the balancer reaches another proxy.
+# A caller that retries through the load balancer reaches another proxy.
 CUT_OFF_RETRY_S = 0.1
-# Between attempts to reach a primary that has just been lost.
+# Pause between attempts to reach a primary that has just been lost.
 PRIMARY_RETRY_S = 0.02
 
 
 def build_requirement(session: CallerSession) -> ReadRequirement:
-    """State what a read of the session must see.
+    """Build the requirement of what a read of the session must see.
 
     Args:
         session: The session.
@@ -48,15 +48,15 @@
 
 
 async def acquire_primary_connection(session: CallerSession) -> None:
-    """Take a connection of the primary, waiting for a new one if need be.
+    """Acquire a connection to the primary, waiting for a new primary if necessary.
 
-    Nothing of the request has been sent yet, so waiting repeats nothing.
+    Nothing of the request has been sent yet, so an attempt can safely be repeated.
 
     Args:
         session: The session, which holds the connection afterwards.
 
     Raises:
-        RequestError: If the wait is over, or the write can't be admitted.
+        RequestError: If the wait has timed out or the write can't be admitted.
     """
     group = session.group
     deadline_s = now_s() + group.section.queue_wait_s
@@ -81,7 +81,7 @@
 async def acquire_connection(
     session: CallerSession, upstream: Upstream, deadline_s: float
 ) -> None:
-    """Take a connection of an upstream from its pool.
+    """Acquire a connection to an upstream from its pool.
 
     Args:
         session: The session, which holds the connection afterwards.
@@ -103,7 +103,7 @@
 
 
 async def run_internal_statement(session: CallerSession, sql: str) -> QueryResult:
-    """Run a statement of the proxy's own before anything is committed.
+    """Run a statement of the proxy itself, before anything is committed.
 
     Args:
         session: A session that holds a connection.
@@ -113,7 +113,7 @@
         The answer.
 
     Raises:
-        RequestError: UPSTREAM_LOST if the upstream is lost or refuses.
+        RequestError: UPSTREAM_LOST if the upstream is lost or refuses the statement.
     """
     assert session.connection is not None
     limit_s = session.group.section.answer_wait_s
@@ -128,11 +128,11 @@
 
 
 async def confirm_read(session: CallerSession, position: LogPosition) -> None:
-    """Wait until a majority holds what a read on the primary has seen.
+    """Wait until a majority holds the data that a read has seen on a primary.
 
     Args:
         session: The session.
-        position: Position that covers what was read.
+        position: Position that covers the data.
 
     Raises:
         RequestError: POSITION_NOT_REACHED if that does not happen in time.
@@ -148,7 +148,7 @@
     """Wait until a majority holds the recorded outcome of an earlier request.
 
     Args:
-        session: A session whose connection has found the outcome.
+        session: A session that has found the outcome on its connection.
 
     Raises:
         RequestError: OUTCOME_UNKNOWN if that does not happen in time.
@@ -169,7 +169,7 @@
 async def confirm_write(
     session: CallerSession, connection: UpstreamConnection, position: LogPosition
 ) -> None:
-    """Wait until a majority holds a commit, and keep its position.
+    """Wait until a majority holds a commit, and record its position.
 
     Args:
         session: The session.
--- a/ebonyrack/callers/writing.py
+++ b/ebonyrack/callers/writing.py
@@ -39,7 +39,7 @@
 
     Args:
         session: The session.
-        request: What to send, once.
+        request: What to send, at most once.
 
     Returns:
         Whether the upstream answered without an error.
@@ -60,10 +60,10 @@
 
 
 async def relay_write(session: CallerSession, request: Request) -> bool:
-    """Send a write on the connection held and answer it.
+    """Send a write on the held connection and relay its answer.
 
     Args:
-        session: The session, which holds a connection of the primary.
+        session: The session, which holds a connection to the primary.
         request: What to send.
 
     Returns:
@@ -78,7 +78,7 @@
     answer = await send_commit(session, request)
     relay = answer.relay
     if relay.sqlstate == READ_ONLY_SQLSTATE and relay.completed_commands == 0:
-        raise RequestError(ErrorKind.NO_PRIMARY, "the upstream is a replica now")
+        raise RequestError(ErrorKind.NO_PRIMARY, "the upstream is now a replica")
     session.record_serving_upstream()
     if connection.transaction_status == IDLE:
         session.release_connection()
@@ -122,9 +122,9 @@
     """Answer a request that ran earlier with its recorded outcome.
 
     Args:
-        session: The session, whose connection has found the outcome.
+        session: The session, which has found the outcome on its connection.
         request: The request.
-        outcome: Outcome as it was recorded.
+        outcome: The recorded outcome.
 
     Returns:
         True.
@@ -189,7 +189,7 @@
         session: The session, with the transaction on its connection.
         request: What was sent.
         key: The key.
-        relay: The relay of the answer, run to its end.
+        relay: Relay of the whole answer.
 
     Returns:
         The statement.
@@ -213,7 +213,7 @@
         record: Statement that records the outcome under the key.
 
     Returns:
-        Whether it succeeded; else the caller has the upstream's error.
+        Whether it succeeded; if not, the upstream's error was sent to the caller.
 
     Raises:
         RequestError: OUTCOME_UNKNOWN, or UPSTREAM_LOST if it did not run.
@@ -232,13 +232,13 @@
         session.stream.write(answer.relay.output)
         return False
     if answer.relay.tags != [COMMIT_TAG]:
-        raise RequestError(ErrorKind.UPSTREAM_LOST, "COMMIT was a ROLLBACK")
+        raise RequestError(ErrorKind.UPSTREAM_LOST, "COMMIT was answered with ROLLBACK")
     await confirm_write(session, connection, answer.position)
     return True
 
 
 def check_transaction_open(session: CallerSession) -> None:
-    """Refuse to go on if a statement has ended the proxy's transaction.
+    """Raise an error if a statement has ended the proxy's transaction.
 
     Args:
         session: The session, which holds the connection.
