--- a/ebonyrack/callers/position_query.py
+++ b/ebonyrack/callers/position_query.py
@@ -28,7 +28,7 @@
 
 
 async def read_last_commit(session: CallerSession, query: str) -> LogPosition:
-    """Read the result of a query for the last commit that was sent before.
+    """Read the last commit's position from the result of a query sent earlier.
 
     Args:
         session: A session that holds a connection.
@@ -68,7 +68,7 @@
 
 
 async def read_position(session: CallerSession) -> LogPosition:
-    """Read the position from the result of a position query that was sent before.
+    """Read the position from the result of a position query sent earlier.
 
     Args:
         session: A session that holds a connection.
@@ -84,7 +84,7 @@
 
 
 async def read_status(session: CallerSession) -> UpstreamStatus | None:
-    """Read the status from the result of a position query that was sent before.
+    """Read the status from the result of a position query sent earlier.
 
     Args:
         session: A session that holds a connection.
--- a/ebonyrack/callers/recorded_answer.py
+++ b/ebonyrack/callers/recorded_answer.py
@@ -159,7 +159,8 @@
 
     Raises:
         RequestError: ALREADY_RAN if the earlier request was a transaction, or if the
-            repeat has another fingerprint and must not get the recorded rows.
+            repeat has another fingerprint: it could not read the recorded rows or
+            must not see them.
     """
     answer = decode_answer(outcome)
     if not answer.frames:
--- a/ebonyrack/callers/upstream_holder.py
+++ b/ebonyrack/callers/upstream_holder.py
@@ -47,7 +47,7 @@
 
     Attributes:
         services: Services of the proxy.
-        identity: Who the caller is.
+        identity: Identity of the caller.
         variables: Session variables.
         upstream: Upstream whose connection the session holds, or None.
         connection: That connection, or None.
@@ -147,7 +147,7 @@
             self.cancel_done = None
 
     async def read_query_result(self) -> QueryResult:
-        """Wait for the result of a query of the proxy that was sent before.
+        """Wait for the result of a query of the proxy itself that was sent earlier.
 
         Returns:
             The result.
@@ -157,9 +157,9 @@
         """
         assert self.connection is not None
         self.enter_phase(SessionPhase.UPSTREAM)
-        answer = await self.connection.read_answer()
+        result = await self.connection.read_answer()
         self.phase = SessionPhase.WORKING
-        return answer
+        return result
 
     async def wait_cancellable(self, waiting: Awaitable[Result]) -> Result:
         """Wait for something that a request needs before anything is sent for it.
@@ -209,7 +209,7 @@
     def handle_upstream_lost(
         self, error: UpstreamLostError, kind: ErrorKind
     ) -> RequestError:
-        """Report the loss of the upstream, close and release the held connection.
+        """Report the loss of the upstream and close the held connection.
 
         Args:
             error: Error with which it was lost.
--- a/ebonyrack/callers/upstream_steps.py
+++ b/ebonyrack/callers/upstream_steps.py
@@ -33,7 +33,7 @@
 
 
 def build_requirement(session: CallerSession) -> ReadRequirement:
-    """Build the requirement of what a read of the session must see.
+    """Build the requirement for reads of the session.
 
     Args:
         session: The session.
@@ -110,7 +110,7 @@
         sql: The statement.
 
     Returns:
-        The answer.
+        The result.
 
     Raises:
         RequestError: UPSTREAM_LOST if the upstream is lost or refuses the statement.
@@ -118,13 +118,13 @@
     assert session.connection is not None
     limit_s = session.group.section.answer_wait_s
     try:
-        answer = await session.connection.query(sql, limit_s)
+        result = await session.connection.query(sql, limit_s)
     except UpstreamLostError as error:
         raise session.handle_upstream_lost(error, ErrorKind.UPSTREAM_LOST) from error
-    if answer.error is not None:
-        reason = f"{sql} was refused: {answer.error.get('M', '')}"
+    if result.error is not None:
+        reason = f"{sql} was refused: {result.error.get('M', '')}"
         raise RequestError(ErrorKind.UPSTREAM_LOST, reason)
-    return answer
+    return result
 
 
 async def confirm_read(session: CallerSession, position: LogPosition) -> None:
