--- a/ebonyrack/load/acknowledge_cost.py
+++ b/ebonyrack/load/acknowledge_cost.py
@@ -1,4 +1,4 @@
-"""Experiment: time that the acknowledgement by a majority adds to a write."""
+"""Experiment: write latency added by waiting for acknowledgement by a majority."""
 
 from __future__ import annotations
 
@@ -13,24 +13,26 @@
 from ebonyrack.load.context import ExperimentResult
 from ebonyrack.load.record import find_quantile
 from ebonyrack.load.replica_share import SITES
-from ebonyrack.load.replica_share import set_site
+from ebonyrack.load.replica_share import configure_group
 from ebonyrack.load.results import Row
 
 POLICIES = ("majority", "primary_alone", "primary_lease")
-CROWDS = (1, 8)
+CALLER_COUNTS = (1, 8)
 ROUNDS = 3
 
 
 @EXPERIMENTS.register("acknowledge_cost")
 async def measure_acknowledge_cost(context: ExperimentContext) -> ExperimentResult:
-    """Time writes under each policy, in rounds that take turns."""
+    """Measure write latencies under each policy, alternating between policies."""
     latencies: dict[tuple[bool, int, str], list[float]] = {}
     policies = context.policies or POLICIES
     for _ in range(ROUNDS):
         for policy in policies:
-            await set_site(context, SITES["siam"], 0.0, acknowledge_policy=policy)
+            await configure_group(
+                context, SITES["siam"], 0.0, acknowledge_policy=policy
+            )
             for use_keys in (False, True):
-                for crowd in CROWDS:
+                for caller_count in CALLER_COUNTS:
                     options = replace(
                         context.options,
                         run_id=f"cost{time.time_ns():x}",
@@ -39,20 +41,25 @@
                         use_keys=use_keys,
                     )
                     result = await run_booking(
-                        context.upstreams, options, crowd, context.duration_s / ROUNDS
+                        context.upstreams,
+                        options,
+                        caller_count,
+                        context.duration_s / ROUNDS,
                     )
-                    latencies.setdefault((use_keys, crowd, policy), []).extend(
+                    latencies.setdefault((use_keys, caller_count, policy), []).extend(
                         result.record.write_latencies_s
                     )
     rows: list[Row] = []
-    for (use_keys, crowd, policy), values in sorted(latencies.items()):
+    for (use_keys, caller_count, policy), values in sorted(latencies.items()):
         median_s = find_quantile(values, 0.5)
-        base = find_quantile(latencies.get((use_keys, crowd, "primary_alone"), []), 0.5)
+        base = find_quantile(
+            latencies.get((use_keys, caller_count, "primary_alone"), []), 0.5
+        )
         added_s = median_s - base if median_s is not None and base is not None else None
         rows.append(
             {
                 "keyed": use_keys,
-                "callers": crowd,
+                "callers": caller_count,
                 "policy": policy,
                 "writes": len(values),
                 "median_ms": to_ms(median_s),
--- a/ebonyrack/load/bench.py
+++ b/ebonyrack/load/bench.py
@@ -1,4 +1,4 @@
-"""Compares a proxy with the direct connection, in one run."""
+"""Compares a proxy with a direct connection to the upstream, in one run."""
 
 from __future__ import annotations
 
@@ -17,21 +17,21 @@
 
 SERIAL_BLOCKS = 20
 BLOCK_STATEMENTS = 100
-OPENING_AT_ONCE = 50
-SETTLE_S = 2.0
+CONNECT_CONCURRENCY = 50
+MEMORY_WAIT_S = 2.0
 
 
 @dataclass(frozen=True, slots=True)
 class BenchOptions:
-    """What to compare.
+    """Targets and sizes of a benchmark.
 
     Attributes:
         proxy: Address of the proxy.
         upstream: Address of an upstream of its group.
-        proxy_pid: Process number of the proxy, for memory and processor time.
-        callers: Callers of the throughput measurement.
+        proxy_pid: Process ID of the proxy, for memory and processor time.
+        callers: Number of callers in the throughput measurements.
         duration_s: Length of each throughput measurement, in seconds.
-        idle_callers: Callers of the memory measurement.
+        idle_callers: Number of callers in the memory measurement.
     """
 
     proxy: Address
@@ -43,12 +43,12 @@
 
 
 def build_select(number: int) -> str:
-    """Build a statement whose literal differs each time."""
+    """Build a statement with the given number as a literal."""
     return f"SELECT slot, booker FROM bookings WHERE slot = {number}"
 
 
-async def measure_serial(client: SimpleQueryClient, count: int) -> list[float]:
-    """Return the time of each of some statements sent one by one, in seconds."""
+async def measure_latencies(client: SimpleQueryClient, count: int) -> list[float]:
+    """Return the latencies of statements sent one after another, in seconds."""
     times_s = []
     for number in range(count):
         started_s = now_s()
@@ -58,18 +58,18 @@
 
 
 async def compare_latency(options: BenchOptions) -> dict[str, Any]:
-    """Compare the latency of one caller, in blocks that take turns."""
+    """Compare the latency of one caller, alternating between blocks of statements."""
     direct_s: list[float] = []
     proxied_s: list[float] = []
     async with (
         SimpleQueryClient(options.upstream) as direct,
         SimpleQueryClient(options.proxy) as proxied,
     ):
-        await measure_serial(direct, BLOCK_STATEMENTS)
-        await measure_serial(proxied, BLOCK_STATEMENTS)
+        await measure_latencies(direct, BLOCK_STATEMENTS)
+        await measure_latencies(proxied, BLOCK_STATEMENTS)
         for _ in range(SERIAL_BLOCKS):
-            direct_s += await measure_serial(direct, BLOCK_STATEMENTS)
-            proxied_s += await measure_serial(proxied, BLOCK_STATEMENTS)
+            direct_s += await measure_latencies(direct, BLOCK_STATEMENTS)
+            proxied_s += await measure_latencies(proxied, BLOCK_STATEMENTS)
     return {
         "direct_median_ms": round(median(direct_s) * 1000, 3),
         "proxy_median_ms": round(median(proxied_s) * 1000, 3),
@@ -80,13 +80,13 @@
 
 
 async def measure_rate(address: Address, callers: int, duration_s: float) -> float:
-    """Return statements a second of callers that never pause."""
-    stop_s = now_s() + duration_s
+    """Return the statements per second of callers that never pause."""
+    stop_at_s = now_s() + duration_s
     counts = [0] * callers
 
     async def run(index: int) -> None:
         async with SimpleQueryClient(address) as client:
-            while now_s() < stop_s:
+            while now_s() < stop_at_s:
                 if await client.query(build_select(counts[index])):
                     counts[index] += 1
 
@@ -98,7 +98,7 @@
 
 
 async def compare_rates(options: BenchOptions) -> dict[str, Any]:
-    """Compare statements a second, and find the proxy's processor time for each."""
+    """Compare throughput and compute the proxy's processor time per statement."""
     direct = await measure_rate(options.upstream, options.callers, options.duration_s)
     before_s = read_processor_s(options.proxy_pid)
     proxied = await measure_rate(options.proxy, options.callers, options.duration_s)
@@ -113,20 +113,20 @@
 
 
 async def measure_memory(options: BenchOptions) -> dict[str, Any]:
-    """Measure the proxy's memory with no callers and with many idle ones."""
+    """Measure the proxy's memory without callers and with many idle ones."""
     before = read_resident_bytes(options.proxy_pid)
     clients = [SimpleQueryClient(options.proxy) for _ in range(options.idle_callers)]
-    gate = asyncio.Semaphore(OPENING_AT_ONCE)
+    semaphore = asyncio.Semaphore(CONNECT_CONCURRENCY)
 
-    async def open_one(client: SimpleQueryClient) -> None:
-        async with gate:
+    async def connect_one(client: SimpleQueryClient) -> None:
+        async with semaphore:
             await client.open()
             await client.query(build_select(1))
 
     async with asyncio.TaskGroup() as tasks:
         for client in clients:
-            tasks.create_task(open_one(client))
-    await asyncio.sleep(SETTLE_S)
+            tasks.create_task(connect_one(client))
+    await asyncio.sleep(MEMORY_WAIT_S)
     after = read_resident_bytes(options.proxy_pid)
     for client in clients:
         client.close()
@@ -141,10 +141,10 @@
 async def run_bench(options: BenchOptions) -> dict[str, Any]:
     """Run all comparisons.
 
-    Memory comes first, since a process that was busy keeps freed memory.
+    Memory is measured first, since a process that was busy retains freed memory.
 
     Args:
-        options: What to compare.
+        options: Targets and sizes of the benchmark.
 
     Returns:
         Figures by name.
--- a/ebonyrack/load/booking.py
+++ b/ebonyrack/load/booking.py
@@ -1,4 +1,4 @@
-"""The booking workload: run it, check the group, say what came of it."""
+"""Runs the booking workload, checks the group and summarizes the result."""
 
 from __future__ import annotations
 
@@ -28,15 +28,15 @@
 
 @dataclass(frozen=True, slots=True)
 class BookingResult:
-    """A finished workload.
+    """Result of a finished workload.
 
     Attributes:
-        record: What callers were told.
-        findings: What the group holds.
-        duration_s: How long it ran, in seconds.
-        done_in_time: Operations done before the last moment at which one may start.
+        record: Replies that the callers received.
+        findings: Differences between these replies and the group's data.
+        duration_s: Length of the run, in seconds.
+        done_in_time: Operations completed while new ones were still started.
         failover_gap_s: Longest time between two acknowledged writes around the
-            fault, or in the whole run if no fault was marked.
+            fault, in seconds; of the whole run if no fault was reported.
     """
 
     record: WorkloadRecord
@@ -47,20 +47,20 @@
 
     @property
     def is_correct(self) -> bool:
-        """Whether nothing was lost, doubled, read stale or refused untruly."""
-        faults = (
+        """Whether no write was lost, doubled or wrongly refused, and no read stale."""
+        violations = (
             self.findings.lost,
             self.findings.doubled,
             self.findings.untrue_refusals,
             self.record.untrue_refusals,
             self.record.stale_reads,
         )
-        return not any(faults)
+        return not any(violations)
 
     def summarize(self) -> dict[str, Any]:
         """Return the figures by name."""
         record = self.record
-        share = record.replica_share()
+        share = record.compute_replica_share()
         return {
             "acknowledged": len(record.acknowledged),
             "lost": self.findings.lost,
@@ -82,12 +82,12 @@
 
 
 def to_ms(value_s: float | None) -> float | None:
-    """Return seconds as milliseconds."""
+    """Convert seconds to milliseconds."""
     return None if value_s is None else round(value_s * 1000, 2)
 
 
-def read_mark(path: Path | None) -> float | None:
-    """Return the monotonic time of a fault from a file with its wall time."""
+def read_fault_time(path: Path | None) -> float | None:
+    """Return the monotonic time of a fault from a file with its wall-clock time."""
     if path is None or not path.exists():
         return None
     wall_s = float(path.read_text(encoding="utf-8").split()[0])
@@ -97,47 +97,48 @@
 async def run_booking(
     upstreams: tuple[Address, ...],
     options: WorkloadOptions,
-    callers: int,
+    caller_count: int,
     duration_s: float,
-    mark: Path | None = None,
+    fault_time_file: Path | None = None,
     prepare: Preparation | None = None,
 ) -> BookingResult:
     """Run the workload against proxies and check the group behind them.
 
     Args:
         upstreams: Addresses of the group's upstreams, for the check.
-        options: How callers behave.
-        callers: Number of callers.
+        options: Behaviour of the callers.
+        caller_count: Number of callers.
         duration_s: How long callers start operations, in seconds.
-        mark: File that holds the wall time of a fault, once it was injected.
-        prepare: Called with the callers before the load begins; what they do in it
-            counts in no figure of speed.
+        fault_time_file: File that holds the wall-clock time of a fault, once one was
+            injected.
+        prepare: Called with the callers before the load begins; its operations count
+            neither in the write latencies nor in `done_in_time`.
 
     Returns:
-        What came of it.
+        The result.
     """
     await create_tables(upstreams)
     record = WorkloadRecord()
-    crowd = [BookingCaller(number, options, record) for number in range(callers)]
+    callers = [BookingCaller(number, options, record) for number in range(caller_count)]
     if prepare is not None:
-        await prepare(crowd)
+        await prepare(callers)
     done_before = len(record.acknowledged) + record.reads
     record.write_latencies_s.clear()
     started_s = now_s()
-    stop_s = started_s + duration_s
+    stop_at_s = started_s + duration_s
     async with asyncio.TaskGroup() as tasks:
-        for caller in crowd:
-            tasks.create_task(caller.run(stop_s, stop_s + FINISH_LIMIT_S))
+        for caller in callers:
+            tasks.create_task(caller.run(stop_at_s, stop_at_s + FINISH_LIMIT_S))
         await asyncio.sleep(duration_s)
         done_in_time = len(record.acknowledged) + record.reads - done_before
     elapsed_s = now_s() - started_s
     findings = await check_group(upstreams, record, options.run_id)
-    gap_s = record.find_gap_s(read_mark(mark))
+    gap_s = record.find_longest_gap_s(read_fault_time(fault_time_file))
     return BookingResult(record, findings, elapsed_s, done_in_time, gap_s)
 
 
 def format_table(summary: dict[str, Any]) -> str:
-    """Lay figures out as two columns."""
+    """Format figures as two columns."""
     width = max(len(name) for name in summary)
     lines = [f"{name:<{width}}  {value}" for name, value in summary.items()]
     return "\n".join(lines)
--- a/ebonyrack/load/booking_test.py
+++ b/ebonyrack/load/booking_test.py
@@ -1,15 +1,15 @@
 import psycopg
 import pytest
 
-from ebonyrack.load.attempt import Verdict
+from ebonyrack.load.attempt import RequestOutcome
 from ebonyrack.load.attempt import classify_error
 from ebonyrack.load.booking import run_booking
 from ebonyrack.load.bootstrap import BootstrapError
 from ebonyrack.load.bootstrap import put_document
 from ebonyrack.load.caller import BookingCaller
 from ebonyrack.load.group_check import check_group
+from ebonyrack.load.group_check import connect_to_primary
 from ebonyrack.load.group_check import create_tables
-from ebonyrack.load.group_check import open_primary
 from ebonyrack.load.record import WorkloadRecord
 from ebonyrack.load.workload_options import WorkloadOptions
 from ebonyrack.standins.group import StandinGroup
@@ -20,7 +20,7 @@
     return tuple(spec.address for spec in group.specs())
 
 
-async def test_workload_against_the_primary_itself_is_correct():
+async def test_workload_on_a_direct_connection_to_the_primary_is_correct():
     async with StandinGroup() as group:
         options = WorkloadOptions(proxies=(group["up-1"].address,), use_keys=False)
         result = await run_booking(addresses(group), options, 4, 0.3)
@@ -44,10 +44,10 @@
         await caller.connections.close()
 
 
-async def test_check_finds_lost_doubled_and_untruly_refused():
+async def test_check_finds_lost_doubled_and_wrongly_refused_writes():
     async with StandinGroup() as group:
         await create_tables(addresses(group))
-        async with await open_primary(addresses(group)) as connection:
+        async with await connect_to_primary(addresses(group)) as connection:
             for slot, key in ((1, "r-1"), (1, "r-1"), (2, "r-2"), (9, "other")):
                 await connection.execute(
                     "INSERT INTO reservations (slot, request) VALUES (%s, %s)",
@@ -61,24 +61,27 @@
 
 
 @pytest.mark.parametrize(
-    "is_sent, verdict", [(True, Verdict.UNKNOWN), (False, Verdict.REFUSED)]
+    "is_sent, outcome",
+    [(True, RequestOutcome.UNKNOWN), (False, RequestOutcome.REFUSED)],
 )
-def test_broken_connection_is_unknown_only_if_the_request_left(is_sent, verdict):
+def test_outcome_of_a_broken_connection_depends_on_whether_the_request_was_sent(
+    is_sent, outcome
+):
     failure = classify_error(psycopg.OperationalError("gone"), is_sent)
-    assert failure.verdict is verdict
+    assert failure.outcome is outcome
 
 
-def test_gap_is_looked_for_around_the_fault():
-    record = WorkloadRecord(acknowledged_s=[0.0, 5.0, 5.1, 6.0, 6.1, 60.0])
-    assert record.find_gap_s() == pytest.approx(53.9)
-    assert record.find_gap_s(5.05) == pytest.approx(53.9)
-    assert record.find_gap_s(5.05, within_s=0.5) == pytest.approx(0.9)
+def test_longest_gap_is_limited_to_the_time_around_the_fault():
+    record = WorkloadRecord(acknowledged_at_s=[0.0, 5.0, 5.1, 6.0, 6.1, 60.0])
+    assert record.find_longest_gap_s() == pytest.approx(53.9)
+    assert record.find_longest_gap_s(5.05) == pytest.approx(53.9)
+    assert record.find_longest_gap_s(5.05, window_s=0.5) == pytest.approx(0.9)
 
 
-async def test_first_document_is_put_once_and_checked():
+async def test_first_document_is_validated_and_written_only_once():
     async with StandinGroup() as group, StandinPlatform() as platform:
-        places = " ".join(f"{spec.name}={spec.address}@dc-1" for spec in group.specs())
-        text = f"[group booking]\nowner = db\nupstreams = {places}\n"
+        specs = " ".join(f"{spec.name}={spec.address}@dc-1" for spec in group.specs())
+        text = f"[group booking]\nowner = db\nupstreams = {specs}\n"
         with pytest.raises(BootstrapError, match="owner"):
             await put_document(platform.address, "ebonyrack", "[group booking]\n")
         await put_document(platform.address, "ebonyrack", text)
--- a/ebonyrack/load/bootstrap.py
+++ b/ebonyrack/load/bootstrap.py
@@ -1,4 +1,4 @@
-"""Puts the first operators' document into an empty store."""
+"""Writes the first operators' document into an empty store."""
 
 from __future__ import annotations
 
@@ -16,11 +16,11 @@
 
 
 class BootstrapError(Exception):
-    """The first document was not accepted."""
+    """The first document is invalid or could not be written."""
 
 
 async def put_document(store_address: Address, prefix: str, text: str) -> None:
-    """Check a document and write it as the first revision.
+    """Validate a document and write it as the first revision.
 
     Args:
         store_address: Address of the platform's store.
@@ -28,18 +28,19 @@
         text: The INI text.
 
     Raises:
-        BootstrapError: If it has faults, or the store holds a document already.
+        BootstrapError: If the document has errors, the store already holds one, or
+            the store does not reply.
     """
-    document, faults = parse_document(text, FIRST_REVISION)
+    document, errors = parse_document(text, FIRST_REVISION)
     if document is None:
-        raise BootstrapError("\n".join(str(fault) for fault in faults))
+        raise BootstrapError("\n".join(str(error) for error in errors))
     stored = StoredDocument(FIRST_REVISION, text, ())
     settings = StoreSettings.model_validate(
         {"address": store_address, "prefix": prefix}
     )
     async with ConsulStore(settings) as store:
-        answer = await store.compare_and_swap(DOCUMENT_KEY, pack_stored(stored), 0)
-    if isinstance(answer, Err):
-        raise BootstrapError(f"the store gave no answer: {answer.err_value.reason}")
-    if not answer.ok_value:
-        raise BootstrapError("the store holds a document already")
+        written = await store.compare_and_swap(DOCUMENT_KEY, pack_stored(stored), 0)
+    if isinstance(written, Err):
+        raise BootstrapError(f"the store did not reply: {written.err_value.reason}")
+    if not written.ok_value:
+        raise BootstrapError("the store already holds a document")
--- a/ebonyrack/load/cluster.py
+++ b/ebonyrack/load/cluster.py
@@ -1,4 +1,4 @@
-"""Drives the stand-ins and the operators' document during an experiment."""
+"""Controls the stand-ins and the operators' document during an experiment."""
 
 from __future__ import annotations
 
@@ -23,15 +23,15 @@
 from ebonyrack.store.consul_store import ConsulStore
 
 POLL_INTERVAL_S = 0.05
-WHOLE_LIMIT_S = 30.0
-SPREAD_WAIT_S = 2.0
+HEALTHY_LIMIT_S = 30.0
+PROPAGATION_WAIT_S = 2.0
 PRIMARY_ROLE = "primary"
 
 GroupStatus = dict[str, dict[str, Any]]
 
 
 class ClusterError(Exception):
-    """The stand-ins could not be brought into the state that was asked for."""
+    """The stand-ins or the document could not be brought into the requested state."""
 
 
 def set_group_keys(text: str, group: str, keys: dict[str, str]) -> str:
@@ -40,7 +40,7 @@
     Args:
         text: The INI text.
         group: Name of the group.
-        keys: Key to new value.
+        keys: New values by key.
     """
     parser = configparser.ConfigParser(interpolation=None)
     parser.read_string(text)
@@ -56,18 +56,18 @@
     Attributes:
         control: Address of the group's fault control.
         store: Address of the platform.
-        text: Text of the document as it was first.
+        initial_text: Text of the document at the start of the experiment.
         group: Name of the group.
     """
 
-    __slots__ = ("control", "store", "text", "group", "session")
+    __slots__ = ("control", "store", "initial_text", "group", "session")
 
     def __init__(
         self, control: Address, store: Address, text: str, group: str = "booking"
     ) -> None:
         self.control = control
         self.store = store
-        self.text = text
+        self.initial_text = text
         self.group = group
         self.session: aiohttp.ClientSession
 
@@ -80,25 +80,25 @@
         await self.session.close()
 
     async def put(self, url: str, body: Any) -> None:
-        """Send an order to a stand-in.
+        """Send a PUT request to a stand-in.
 
         Raises:
-            ClusterError: If it is refused.
+            ClusterError: If the stand-in refuses it.
         """
-        async with self.session.put(url, json=body) as answer:
-            if answer.status != 200:
-                raise ClusterError(f"{url}: {await answer.text()}")
+        async with self.session.put(url, json=body) as response:
+            if response.status != 200:
+                raise ClusterError(f"{url}: {await response.text()}")
 
     async def inject(self, kind: str, **body: Any) -> None:
-        """Inject a fault into the group."""
+        """Send a command to the group's fault control, such as `kill` or `heal`."""
         await self.put(f"http://{self.control}/fault/{kind}", body)
 
-    async def set_platform(self, **faults: Any) -> None:
-        """Set faults of the platform."""
+    async def set_platform_faults(self, **faults: Any) -> None:
+        """Set the platform's injected faults."""
         await self.put(f"http://{self.store}/standin/faults", faults)
 
-    async def set_vms(self, *leaving: str) -> None:
-        """Set the platform's VM list: the upstreams, some of them leaving."""
+    async def set_leaving_vms(self, *leaving: str) -> None:
+        """Set the platform's VM list to the upstreams, some of them leaving."""
         vms = [
             {
                 "name": name,
@@ -112,12 +112,12 @@
 
     async def read_status(self) -> GroupStatus:
         """Return the status of each upstream."""
-        async with self.session.get(f"http://{self.control}/status") as answer:
-            status: GroupStatus = await answer.json()
+        async with self.session.get(f"http://{self.control}/status") as response:
+            status: GroupStatus = await response.json()
             return status
 
     async def find_primary(self) -> str:
-        """Return the name of the running primary of the highest term.
+        """Return the name of the running primary with the highest term.
 
         Raises:
             ClusterError: If there is none.
@@ -132,48 +132,54 @@
             raise ClusterError("no upstream is primary")
         return max(found)[1]
 
-    async def wait_whole(self) -> None:
-        """Wait until every upstream follows one primary and holds its log.
+    async def wait_until_healthy(self) -> None:
+        """Wait until all upstreams run and the replicas follow one primary.
 
         Raises:
-            ClusterError: If that doesn't come to pass within the limit.
+            ClusterError: If the group is not healthy within the limit.
         """
-        deadline_s = now_s() + WHOLE_LIMIT_S
-        while not is_whole(await self.read_status()):
+        deadline_s = now_s() + HEALTHY_LIMIT_S
+        while not is_healthy(await self.read_status()):
             if now_s() > deadline_s:
-                raise ClusterError(f"not whole: {await self.read_status()}")
+                raise ClusterError(f"group not healthy: {await self.read_status()}")
             await asyncio.sleep(POLL_INTERVAL_S)
 
     async def change_group(self, **keys: object) -> None:
-        """Change keys of the group in the document and wait for its spread.
+        """Change keys of the group in the document and wait until it has propagated.
 
-        The change is made from the document as it was first, so that keys of
-        earlier changes are back at their values.
+        The change applies to the initial document, so keys changed earlier get their
+        initial values again.
 
         Raises:
-            ClusterError: If it is not accepted.
+            ClusterError: If the store or the validation rejects the document.
         """
         texts = {name: str(value) for name, value in keys.items()}
-        text = set_group_keys(self.text, self.group, texts)
+        text = set_group_keys(self.initial_text, self.group, texts)
         settings = StoreSettings.model_validate({"address": self.store})
         async with ConsulStore(settings) as store:
             read = await store.get(DOCUMENT_KEY)
             if isinstance(read, Err) or read.ok_value is None:
-                raise ClusterError(f"no document: {read}")
+                raise ClusterError(f"could not read the document: {read}")
             stored = unpack_stored(read.ok_value.value)
             revision = stored.revision + 1
-            document, faults = parse_document(text, revision)
+            document, errors = parse_document(text, revision)
             if document is None:
-                raise ClusterError("\n".join(str(fault) for fault in faults))
+                raise ClusterError("\n".join(str(error) for error in errors))
             data = pack_stored(StoredDocument(revision, text, stored.history))
-            done = await store.compare_and_swap(DOCUMENT_KEY, data, read.ok_value.index)
-        if isinstance(done, Err) or not done.ok_value:
-            raise ClusterError(f"not accepted: {done}")
-        await asyncio.sleep(SPREAD_WAIT_S)
+            written = await store.compare_and_swap(
+                DOCUMENT_KEY, data, read.ok_value.index
+            )
+        if isinstance(written, Err) or not written.ok_value:
+            raise ClusterError(f"could not write the document: {written}")
+        await asyncio.sleep(PROPAGATION_WAIT_S)
 
 
-def is_whole(status: GroupStatus) -> bool:
-    """Return whether all upstreams run in one term and hold the same log."""
+def is_healthy(status: GroupStatus) -> bool:
+    """Return whether all upstreams run and the replicas follow the only primary.
+
+    The primary has granted no term above its own. A replica follows it if it is in
+    the primary's term and the last entry of its log is of that term.
+    """
     items = list(status.values())
     primaries = [item for item in items if item["role"] == PRIMARY_ROLE]
     if len(primaries) != 1 or not all(item["is_running"] for item in items):
--- a/ebonyrack/load/context.py
+++ b/ebonyrack/load/context.py
@@ -1,4 +1,4 @@
-"""What every experiment is given, and the registry of experiments."""
+"""Context and result of experiments, and their registry."""
 
 from __future__ import annotations
 
@@ -21,14 +21,14 @@
     Attributes:
         cluster: Stand-ins and document.
         upstreams: Addresses of the upstreams.
-        options: How callers reach the proxies.
+        options: Behaviour of the callers; experiments override some of it.
         proxy_logs: Log file of each proxy.
-        trials: Trials of each condition.
+        trials: Number of trials for each condition.
         duration_s: Length of each condition, in seconds.
         policies: Policies to compare; empty for all.
         faults: Faults to inject; empty for all.
-        peers: Addresses at which the proxies answer operators.
-        peer_secret: Secret of the proxies.
+        peers: Addresses at which the proxies accept operator requests.
+        peer_secret: Shared secret of the proxies.
     """
 
     cluster: Cluster
@@ -45,11 +45,11 @@
 
 @dataclass(frozen=True, slots=True)
 class ExperimentResult:
-    """Rows of an experiment.
+    """Rows of a finished experiment.
 
     Attributes:
         trials: One row for each trial, or for each condition.
-        summary: Rows of the table.
+        summary: One row for each condition, for the printed table.
     """
 
     trials: list[Row]
--- a/ebonyrack/load/control_host.py
+++ b/ebonyrack/load/control_host.py
@@ -1,4 +1,4 @@
-"""Hosts proxies that run only the control plane, and tells what happens in them."""
+"""Hosts proxies that run only the control plane, and prints their events."""
 
 from __future__ import annotations
 
@@ -27,14 +27,14 @@
 
 @dataclass(frozen=True, slots=True)
 class HostOptions:
-    """Which proxies a process hosts.
+    """Selects the proxies that a process hosts.
 
     Attributes:
         store: Address of the platform's store.
         listen_ip: IP address at which all proxies of the run listen.
-        first: Number of the first proxy here.
-        count: Number of proxies here.
-        data_centres: Number of data centres; proxies take turns.
+        first: Number of the first proxy in this process.
+        count: Number of proxies in this process.
+        data_centres: Number of data centres, assigned to the proxies round-robin.
     """
 
     store: Address
@@ -44,13 +44,17 @@
     data_centres: int
 
 
-def find_address(listen_ip: str, number: int) -> Address:
-    """Return the peer address of a proxy."""
+def build_peer_address(listen_ip: str, number: int) -> Address:
+    """Return the peer address of the proxy with a number."""
     return Address(listen_ip, FIRST_PORT + number)
 
 
-def write_event(event: str, **fields: Any) -> None:
-    """Print one line about what happened, with the machine's monotonic time."""
+def print_event(event: str, **fields: Any) -> None:
+    """Print an event as a line of JSON, with the monotonic time.
+
+    The monotonic clock is the same in all processes of a machine, so events of
+    several hosts can be compared.
+    """
     print(json.dumps({"event": event, "at_s": now_s(), **fields}), flush=True)
 
 
@@ -58,15 +62,15 @@
     """One proxy with its share count: an async context manager.
 
     Attributes:
-        plane: The proxy.
-        shares: By how many proxies it divides connections.
-        count: The count that was told last.
+        plane: The control plane of the proxy.
+        share_count: Counts the proxies among which connections are divided.
+        reported_count: Share count that was printed last.
     """
 
-    __slots__ = ("plane", "shares", "count", "stack")
+    __slots__ = ("plane", "share_count", "reported_count", "stack")
 
     def __init__(self, options: HostOptions, number: int) -> None:
-        seeds = [find_address(options.listen_ip, seed) for seed in range(3)]
+        seeds = [build_peer_address(options.listen_ip, seed) for seed in range(3)]
         settings = build_settings(
             f"proxy-{number}",
             options.store,
@@ -74,47 +78,47 @@
             f"dc-{number % options.data_centres}",
             timeouts=DAEMON_TIMEOUTS,
         )
-        address = find_address(options.listen_ip, number)
+        address = build_peer_address(options.listen_ip, number)
         proxy = settings.proxy.model_copy(update={"peer_address": address})
         settings = type(settings)(proxy, settings.store, settings.peers, settings.log)
         self.plane = ControlPlane(settings)
-        self.shares = ShareCount(self.plane.hub.membership)
-        self.count = 0
+        self.share_count = ShareCount(self.plane.hub.membership)
+        self.reported_count = 0
         self.stack = AsyncExitStack()
 
     async def start(self) -> None:
-        """Start the proxy and tell its changes."""
+        """Start the proxy and print its events."""
         name = self.plane.name
         self.plane.state.subscribe(
-            lambda document: write_event(
+            lambda document: print_event(
                 "in_force", proxy=name, revision=document.revision
             )
         )
         await self.stack.enter_async_context(self.plane)
-        await self.stack.enter_async_context(self.shares)
-        self.plane.hub.membership.subscribe(self.notice_member)
-        self.shares.subscribe(self.tell_count)
+        await self.stack.enter_async_context(self.share_count)
+        self.plane.hub.membership.subscribe(self.handle_member_change)
+        self.share_count.subscribe(self.report_share_count)
 
     async def stop(self) -> None:
         """Stop the proxy."""
         await self.stack.aclose()
 
-    def notice_member(self, member: Member) -> None:
-        """Look at the count after a change of the members."""
-        self.tell_count()
+    def handle_member_change(self, member: Member) -> None:
+        """Report the share count after a change of a member."""
+        self.report_share_count()
 
-    def tell_count(self) -> None:
-        """Tell the share count if it changed."""
-        count = self.shares.count()
-        if count != self.count:
-            self.count = count
-            write_event("shares", proxy=self.plane.name, count=count)
+    def report_share_count(self) -> None:
+        """Print the share count if it has changed."""
+        count = self.share_count.count()
+        if count != self.reported_count:
+            self.reported_count = count
+            print_event("shares", proxy=self.plane.name, count=count)
 
 
-def tell_usage(proxies: list[HostedProxy]) -> None:
-    """Tell what this process has used so far."""
+def report_usage(proxies: list[HostedProxy]) -> None:
+    """Print the resources that this process and its proxies have used so far."""
     traffic = [proxy.plane.hub.traffic for proxy in proxies]
-    write_event(
+    print_event(
         "usage",
         proxies=len(proxies),
         processor_s=read_processor_s(os.getpid()),
@@ -128,18 +132,18 @@
 
 
 async def run_host(options: HostOptions, is_stopped: Callable[[], bool]) -> None:
-    """Run the proxies until they are told to stop.
+    """Run the proxies until the process is told to stop.
 
     Args:
-        options: Which proxies.
-        is_stopped: Asked again and again whether to stop.
+        options: Selects the proxies.
+        is_stopped: Called periodically; returns whether to stop.
     """
     async with AsyncExitStack() as stack:
         proxies = [
             await stack.enter_async_context(HostedProxy(options, number))
             for number in range(options.first, options.first + options.count)
         ]
-        write_event("started", pid=os.getpid(), first=options.first)
+        print_event("started", pid=os.getpid(), first=options.first)
         while not is_stopped():
-            tell_usage(proxies)
+            report_usage(proxies)
             await asyncio.sleep(USAGE_INTERVAL_S)
--- a/ebonyrack/load/control_plane.py
+++ b/ebonyrack/load/control_plane.py
@@ -1,4 +1,4 @@
-"""Measures the control plane: spread of edits, cost of a node, shares after a death."""
+"""Measures how edits propagate, what a proxy costs and how it adapts to a lost peer."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 from ebonyrack.core.address import Address
 from ebonyrack.core.clock import now_s
 from ebonyrack.core.settings import StoreSettings
-from ebonyrack.load.control_host import find_address
+from ebonyrack.load.control_host import build_peer_address
 from ebonyrack.load.record import find_quantile
 from ebonyrack.load.results import Row
 from ebonyrack.ops.client import ProxyAccess
@@ -28,11 +28,11 @@
 from ebonyrack.store.consul_store import ConsulStore
 
 OPERATOR = "measure"
-POLL_S = 0.02
-LIMIT_S = 60.0
+POLL_INTERVAL_S = 0.02
+CONDITION_TIMEOUT_S = 60.0
 IDLE_WARM_UP_S = 3.0
 EDIT_PAUSE_S = 0.3
-EDIT_LIMIT_S = 10.0
+EDIT_TIMEOUT_S = 10.0
 USAGE_FIELDS = ("bytes_sent", "bytes_received", "messages_sent", "store_calls")
 
 GROUP_TEXT = """[group group-{number}]
@@ -51,14 +51,14 @@
     Attributes:
         store: Address of the platform's store.
         listen_ip: IP address at which the proxies listen.
-        nodes: Number of proxies, the victim included.
-        groups: Database groups in the document.
-        logs: Output of each host process.
-        victim_log: Output of the process that is killed at the end.
-        edits: Edits that are timed.
+        nodes: Number of proxies, including the one that is killed.
+        groups: Number of database groups in the document.
+        logs: Output file of each host process that keeps running.
+        victim_log: Output file of the process that is killed at the end.
+        edits: Number of edits to time.
         idle_s: Length of the window without edits, in seconds.
-        events: Lines read so far.
-        offsets: Bytes read so far of each log.
+        events: Events read so far.
+        offsets: Number of bytes read so far from each file.
     """
 
     store: Address
@@ -73,7 +73,7 @@
     offsets: dict[Path, int] = field(default_factory=dict)
 
     def read_events(self) -> None:
-        """Read what the hosts have told since the last time."""
+        """Read the events that the hosts have printed since the last call."""
         for path in (*self.logs, self.victim_log):
             with path.open("rb") as file:
                 file.seek(self.offsets.get(path, 0))
@@ -84,48 +84,53 @@
                     self.events.append({**json.loads(line), "log": path})
 
     async def wait_for(self, condition: Callable[[], bool]) -> None:
-        """Read events until a condition holds."""
-        async with asyncio.timeout(LIMIT_S):
+        """Read events until a condition holds.
+
+        Raises:
+            TimeoutError: If it does not hold within `CONDITION_TIMEOUT_S`.
+        """
+        async with asyncio.timeout(CONDITION_TIMEOUT_S):
             while True:
                 self.read_events()
                 if condition():
                     return
-                await asyncio.sleep(POLL_S)
+                await asyncio.sleep(POLL_INTERVAL_S)
 
-    def find_last(self, event: str, key: str) -> dict[str, Any]:
-        """Return the last value of a key that each proxy told in an event."""
+    def collect_last_values(self, event: str, key: str) -> dict[str, Any]:
+        """Return the last value of an event's field for each proxy."""
         return {
             line["proxy"]: line[key] for line in self.events if line["event"] == event
         }
 
-    def count_at_least(self, event: str, key: str, value: int) -> int:
-        """Return how many proxies last told at least a value."""
-        last = self.find_last(event, key).values()
-        return sum(1 for told in last if told >= value)
+    def count_proxies_at_least(self, event: str, key: str, value: int) -> int:
+        """Return the number of proxies whose last value is at least the given one."""
+        last_values = self.collect_last_values(event, key).values()
+        return sum(1 for last_value in last_values if last_value >= value)
 
 
-def build_text(groups: int, slots: int) -> str:
-    """Build a document; `slots` of its first group tells one edit from another."""
-    parts = [
+def build_document_text(groups: int, slots: int) -> str:
+    """Build a document; edits differ in the `slots` of its first group."""
+    sections = [
         GROUP_TEXT.format(number=number, high=number // 250, low=number % 250)
         for number in range(groups)
     ]
-    parts[0] = parts[0].replace("slots = 3", f"slots = {slots}")
-    return "".join(parts)
+    sections[0] = sections[0].replace("slots = 3", f"slots = {slots}")
+    return "".join(sections)
 
 
 async def run_measurement(measurement: Measurement) -> list[Row]:
-    """Measure one size and return its row."""
+    """Run the measurement and return its row."""
     await measurement.wait_for(
         lambda: (
-            measurement.count_at_least("shares", "count", measurement.nodes)
+            measurement.count_proxies_at_least("shares", "count", measurement.nodes)
             == measurement.nodes
         )
     )
-    await put_first(measurement)
+    await put_first_document(measurement)
     await measurement.wait_for(
         lambda: (
-            measurement.count_at_least("in_force", "revision", 1) == measurement.nodes
+            measurement.count_proxies_at_least("in_force", "revision", 1)
+            == measurement.nodes
         )
     )
     await asyncio.sleep(IDLE_WARM_UP_S)
@@ -134,50 +139,52 @@
     measurement.read_events()
     idle = measure_usage(measurement, idle_from_s, now_s())
     busy_from_s = now_s()
-    delays = await time_edits(measurement)
+    edit_delays_s = await time_edits(measurement)
     busy = measure_usage(measurement, busy_from_s, now_s())
-    shares = await time_death(measurement)
-    return [build_row(measurement, idle, busy, delays, shares)]
+    share_delays_s = await time_share_updates(measurement)
+    return [build_row(measurement, idle, busy, edit_delays_s, share_delays_s)]
 
 
-async def put_first(measurement: Measurement) -> None:
-    """Put the first document into the empty store."""
+async def put_first_document(measurement: Measurement) -> None:
+    """Write the first document into the empty store."""
     settings = StoreSettings.model_validate({"address": measurement.store})
-    text = build_text(measurement.groups, 3)
+    text = build_document_text(measurement.groups, 3)
     edit = build_edit(uuid.uuid4().hex, OPERATOR, StoredDocument(0, "", ()), text)
     async with ConsulStore(settings) as store:
-        reply = await DirectDocument(store).change(edit, EDIT_LIMIT_S)
+        reply = await DirectDocument(store).change(edit, EDIT_TIMEOUT_S)
     if reply.outcome != "accepted":
         raise OSError(f"the first document was not accepted: {reply.reasons}")
 
 
 async def time_edits(measurement: Measurement) -> list[float]:
-    """Make edits through one proxy after the other; time each until all run it.
+    """Make edits through one proxy after another and time how each propagates.
 
     Returns:
-        For each edit the seconds from its acceptance to the last proxy.
+        For each edit the seconds between the first and the last proxy to apply it.
     """
-    delays = []
-    text = build_text(measurement.groups, 3)
+    edit_delays_s = []
+    text = build_document_text(measurement.groups, 3)
     for number in range(measurement.edits):
         base = StoredDocument(number + 1, text, ())
-        text = build_text(measurement.groups, 4 + number)
+        text = build_document_text(measurement.groups, 4 + number)
         edit = build_edit(uuid.uuid4().hex, OPERATOR, base, text)
-        address = find_address(measurement.listen_ip, number % (measurement.nodes - 1))
-        access = ProxyAccess((address,), SECRET, OPERATOR, "", EDIT_LIMIT_S)
-        reply = await ProxyDocument(access).change(edit, EDIT_LIMIT_S)
+        address = build_peer_address(
+            measurement.listen_ip, number % (measurement.nodes - 1)
+        )
+        access = ProxyAccess((address,), SECRET, OPERATOR, "", EDIT_TIMEOUT_S)
+        reply = await ProxyDocument(access).change(edit, EDIT_TIMEOUT_S)
         if reply.outcome != "accepted":
             raise OSError(f"edit {number} was not accepted: {reply.reasons}")
-        delays.append(await time_spread(measurement, reply.revision))
+        edit_delays_s.append(await time_propagation(measurement, reply.revision))
         await asyncio.sleep(EDIT_PAUSE_S)
-    return delays
+    return edit_delays_s
 
 
-async def time_spread(measurement: Measurement, revision: int) -> float:
-    """Return the seconds between the first and the last proxy to run a revision."""
+async def time_propagation(measurement: Measurement, revision: int) -> float:
+    """Return the seconds between the first and the last proxy to apply a revision."""
     await measurement.wait_for(
         lambda: (
-            measurement.count_at_least("in_force", "revision", revision)
+            measurement.count_proxies_at_least("in_force", "revision", revision)
             == measurement.nodes
         )
     )
@@ -192,7 +199,13 @@
 def measure_usage(
     measurement: Measurement, from_s: float, to_s: float
 ) -> dict[str, float]:
-    """Return what one proxy used a second in a window, as a mean over all."""
+    """Return the mean resource usage of a proxy per second within a window.
+
+    Args:
+        measurement: The running measurement.
+        from_s: Monotonic time at which the window begins.
+        to_s: Monotonic time at which the window ends.
+    """
     totals: dict[str, float] = dict.fromkeys((*USAGE_FIELDS, "processor_s"), 0.0)
     for path in measurement.logs:
         lines = [
@@ -212,8 +225,8 @@
     return {name: total / count for name, total in totals.items()}
 
 
-async def time_death(measurement: Measurement) -> list[float]:
-    """Kill the victim; return the seconds until each other proxy divides anew."""
+async def time_share_updates(measurement: Measurement) -> list[float]:
+    """Kill one proxy; return the seconds until each other proxy updates its shares."""
     measurement.read_events()
     started = next(
         line
@@ -222,29 +235,29 @@
     )
     killed_s = now_s()
     os.kill(started["pid"], signal.SIGKILL)
-    wanted = measurement.nodes - 1
+    remaining = measurement.nodes - 1
 
-    def find_times() -> dict[str, float]:
+    def find_update_times() -> dict[str, float]:
         return {
             line["proxy"]: line["at_s"] - killed_s
             for line in measurement.events
             if line["event"] == "shares"
-            and line["count"] == wanted
+            and line["count"] == remaining
             and line["at_s"] > killed_s
         }
 
-    await measurement.wait_for(lambda: len(find_times()) == wanted)
-    return list(find_times().values())
+    await measurement.wait_for(lambda: len(find_update_times()) == remaining)
+    return list(find_update_times().values())
 
 
 def build_row(
     measurement: Measurement,
     idle: dict[str, float],
     busy: dict[str, float],
-    delays: list[float],
-    shares: list[float],
+    edit_delays_s: list[float],
+    share_delays_s: list[float],
 ) -> Row:
-    """Build the row of one size."""
+    """Build the result row of a measurement."""
     usage = [
         line
         for line in measurement.events
@@ -255,10 +268,10 @@
     return {
         "nodes": measurement.nodes,
         "groups": measurement.groups,
-        "edits": len(delays),
-        "in_force_median_s": find_quantile(delays, 0.5),
-        "in_force_p99_s": find_quantile(delays, 0.99),
-        "in_force_max_s": max(delays),
+        "edits": len(edit_delays_s),
+        "in_force_median_s": find_quantile(edit_delays_s, 0.5),
+        "in_force_p99_s": find_quantile(edit_delays_s, 0.99),
+        "in_force_max_s": max(edit_delays_s),
         "idle_sent_B_s": idle["bytes_sent"],
         "idle_received_B_s": idle["bytes_received"],
         "idle_messages_s": idle["messages_sent"],
@@ -270,6 +283,6 @@
         "busy_store_calls_s": busy["store_calls"],
         "hosted_in_a_process": hosted,
         "resident_MiB": max(line["resident_bytes"] for line in newest.values()) / 2**20,
-        "shares_median_s": find_quantile(shares, 0.5),
-        "shares_max_s": max(shares),
+        "shares_median_s": find_quantile(share_delays_s, 0.5),
+        "shares_max_s": max(share_delays_s),
     }
--- a/ebonyrack/load/decision_log.py
+++ b/ebonyrack/load/decision_log.py
@@ -1,4 +1,4 @@
-"""Lines of the proxies' logs, by the event that they tell of."""
+"""Reads events from the proxies' log files."""
 
 from __future__ import annotations
 
@@ -13,20 +13,20 @@
 def read_events(
     logs: tuple[Path, ...], events: Collection[str]
 ) -> Iterator[dict[str, Any]]:
-    """Yield the lines that tell of some events, log by log.
+    """Yield the log lines of some events, one file after another.
 
     Args:
         logs: Log files of the proxies.
         events: Names of the events.
     """
-    # A file also holds lines that are no JSON, such as those of a traceback.
-    marks = [f'"event": "{event}"' for event in events]
+    # A file may also contain lines that are not JSON, such as those of a traceback.
+    patterns = [f'"event": "{event}"' for event in events]
     for path in logs:
         for text in path.read_text(encoding="utf-8").splitlines():
-            if any(mark in text for mark in marks):
+            if any(pattern in text for pattern in patterns):
                 yield json.loads(text)
 
 
 def read_wall_s(line: dict[str, Any]) -> float:
-    """Return the wall-clock time of a line, in seconds."""
+    """Return the wall-clock time of a log line, in seconds since the epoch."""
     return datetime.fromisoformat(line["time"]).timestamp()
--- a/ebonyrack/load/experiments.py
+++ b/ebonyrack/load/experiments.py
@@ -1,4 +1,4 @@
-"""Imports every experiment, so that each registers itself."""
+"""Imports every experiment so that it is registered."""
 
 from ebonyrack.load import acknowledge_cost
 from ebonyrack.load import failover_gap
--- a/ebonyrack/load/failover_queue.py
+++ b/ebonyrack/load/failover_queue.py
@@ -1,4 +1,4 @@
-"""Experiment: queue, arrivals and goodput while the primary is replaced."""
+"""Experiment: queue, arrivals and goodput during a failover."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from ebonyrack.load.failover_gap import run_writers
 from ebonyrack.load.group_check import check_group
 from ebonyrack.load.group_check import create_tables
-from ebonyrack.load.open_arrivals import OpenArrivals
+from ebonyrack.load.open_loop_load import OpenLoopLoad
 from ebonyrack.load.queue_samples import QueueSample
 from ebonyrack.load.queue_samples import sample_queues
 from ebonyrack.load.record import WorkloadRecord
@@ -25,41 +25,41 @@
 from ebonyrack.load.time_steps import BEFORE_S
 from ebonyrack.load.time_steps import STEP_S
 from ebonyrack.load.time_steps import count_in_steps
-from ebonyrack.load.time_steps import find_back_s
+from ebonyrack.load.time_steps import find_drop_recovery_s
 from ebonyrack.load.time_steps import find_peak_rate
-from ebonyrack.load.time_steps import find_recovered_s
-from ebonyrack.load.time_steps import read_in_steps
+from ebonyrack.load.time_steps import find_rise_recovery_s
+from ebonyrack.load.time_steps import find_step_maxima
 from ebonyrack.load.workload_options import WorkloadOptions
 
-# Statements that hold a slot this long make the slots the limit, and not the
+# A statement holds its slot this long, so that the slots are the bottleneck and not the
 # processors that the stand-ins share with the proxies.
 STATEMENT_COST_S = 0.008
-LOAD = 0.9
-# Short enough for the backlog of one failover to fill it.
+CAPACITY_SHARE = 0.9
+# Small enough for the backlog of one failover to fill the queue.
 QUEUE_LIMIT = 10
-PROBE_S = 4.0
-SETTLE_S = 2.0
+CAPACITY_WINDOW_S = 4.0
+WARM_UP_S = 2.0
 BEFORE_STEPS = round(BEFORE_S / STEP_S)
 FINISH_LIMIT_S = 15.0
-# Policy, fault, and callers that are connected before the load, as many as a gap needs.
-# With a lease, 5 s pass until another primary is promoted.
+# Policy, fault, and number of callers that connect before the load: enough for the
+# bookings that arrive during the gap. With a lease, 5 s pass until the promotion.
 CONDITIONS = (
     ("majority", "kill", 150),
     ("majority", "freeze", 150),
     ("primary_lease", "freeze", 600),
 )
-# How callers come back: at the time that the refusal names, or after 10 ms.
-RETRIES: dict[str, float | None] = {"as told": None, "every 10 ms": 0.01}
+# Fixed retry pause by name; None follows the retry-after time of the refusal.
+RETRY_PAUSES_S: dict[str, float | None] = {"as told": None, "every 10 ms": 0.01}
 
 
 @EXPERIMENTS.register("failover_queue")
 async def measure_failover_queue(context: ExperimentContext) -> ExperimentResult:
-    """Replace the primary once under each fault and each way to come back."""
+    """Run one failover for each condition and each way of retrying."""
     await create_tables(context.upstreams)
     await context.cluster.inject("options", statement_cost_s=STATEMENT_COST_S)
-    capacity_per_s = await probe_capacity(context)
+    capacity_per_s = await measure_capacity(context)
     rows: list[Row] = []
-    for policy, fault, callers in CONDITIONS:
+    for policy, fault, caller_count in CONDITIONS:
         if policy not in (context.policies or (policy,)):
             continue
         if fault not in (context.faults or (fault,)):
@@ -67,44 +67,44 @@
         await context.cluster.change_group(
             acknowledge_policy=policy, queue_limit=QUEUE_LIMIT
         )
-        for retries, fixed_retry_s in RETRIES.items():
+        for retries, fixed_retry_s in RETRY_PAUSES_S.items():
             options = replace(
                 context.options,
                 run_id=f"queue{time.time_ns():x}",
                 fixed_retry_s=fixed_retry_s,
             )
-            await context.cluster.wait_whole()
-            arm = FailoverArm(context, options, fault, callers)
-            row = await arm.run(LOAD * capacity_per_s)
+            await context.cluster.wait_until_healthy()
+            failover = FailoverRun(context, options, fault, caller_count)
+            row = await failover.run(CAPACITY_SHARE * capacity_per_s)
             condition = {"policy": policy, "fault": fault, "retries": retries}
             rows.append({**condition, **row})
             print(json.dumps({**rows[-1], "series": None}), flush=True)
     return ExperimentResult(rows, rows)
 
 
-async def probe_capacity(context: ExperimentContext) -> float:
-    """Return how many keyed writes a second the group carries."""
+async def measure_capacity(context: ExperimentContext) -> float:
+    """Measure how many writes with a key the group can serve per second."""
     record = WorkloadRecord()
     options = replace(context.options, run_id=f"probe{time.time_ns():x}", think_s=0.001)
     async with run_writers(options, record):
-        await asyncio.sleep(SETTLE_S)
+        await asyncio.sleep(WARM_UP_S)
         before = len(record.acknowledged)
-        await asyncio.sleep(PROBE_S)
-        return (len(record.acknowledged) - before) / PROBE_S
+        await asyncio.sleep(CAPACITY_WINDOW_S)
+        return (len(record.acknowledged) - before) / CAPACITY_WINDOW_S
 
 
-class FailoverArm:
-    """One failover under load, and the figures of it.
+class FailoverRun:
+    """One failover under load and its figures.
 
     Attributes:
         context: The running cluster.
-        options: How callers behave.
+        options: Behaviour of the callers.
         fault: Name of the fault.
-        record: What callers were told.
-        arrivals: The crowd.
+        record: Replies that the callers received.
+        load: Generator of the load.
         samples: Samples of the proxies' queues.
-        failed_s: Monotonic time of the fault.
-        end_s: Monotonic time at which the last booking arrived.
+        fault_at_s: Monotonic time of the fault.
+        last_arrival_s: Monotonic time after which no booking arrives.
     """
 
     __slots__ = (
@@ -112,10 +112,10 @@
         "options",
         "fault",
         "record",
-        "arrivals",
+        "load",
         "samples",
-        "failed_s",
-        "end_s",
+        "fault_at_s",
+        "last_arrival_s",
     )
 
     def __init__(
@@ -123,44 +123,48 @@
         context: ExperimentContext,
         options: WorkloadOptions,
         fault: str,
-        callers: int,
+        caller_count: int,
     ) -> None:
         self.context = context
         self.options = options
         self.fault = fault
         self.record = WorkloadRecord()
-        self.arrivals = OpenArrivals(options, self.record, callers)
+        self.load = OpenLoopLoad(options, self.record, caller_count)
         self.samples: list[QueueSample] = []
-        self.failed_s = 0.0
-        self.end_s = 0.0
+        self.fault_at_s = 0.0
+        self.last_arrival_s = 0.0
 
     async def run(self, rate_per_s: float) -> Row:
-        """Run the load with the fault in the middle of it.
+        """Run the load and inject the fault during it.
 
         Args:
-            rate_per_s: Bookings that arrive in a second.
+            rate_per_s: Mean number of bookings that arrive per second.
 
         Returns:
-            The figures, and the series they come from.
+            The figures, and the series from which they are computed.
         """
         context = self.context
         primary = await context.cluster.find_primary()
-        async with self.arrivals, sample_queues(context, self.samples):
+        async with self.load, sample_queues(context, self.samples):
             started_s, processor_s = now_s(), time.process_time()
-            self.end_s = started_s + SETTLE_S + BEFORE_S + context.duration_s
-            load = asyncio.create_task(
-                self.arrivals.run(rate_per_s, self.end_s, self.end_s + FINISH_LIMIT_S)
+            self.last_arrival_s = started_s + WARM_UP_S + BEFORE_S + context.duration_s
+            load_task = asyncio.create_task(
+                self.load.run(
+                    rate_per_s,
+                    self.last_arrival_s,
+                    self.last_arrival_s + FINISH_LIMIT_S,
+                )
             )
-            await asyncio.sleep(SETTLE_S + BEFORE_S)
-            self.failed_s = now_s()
+            await asyncio.sleep(WARM_UP_S + BEFORE_S)
+            self.fault_at_s = now_s()
             async with PRIMARY_FAULTS.get(self.fault)(context.cluster, primary):
-                await load
+                await load_task
                 used_s = time.process_time() - processor_s
-                load_share = used_s / (now_s() - started_s)
-                await self.arrivals.finish()
+                processor_share = used_s / (now_s() - started_s)
+                await self.load.finish()
         series = self.build_series()
         row = {"rate_per_s": round(rate_per_s, 1), **self.summarize(series)}
-        row["load_tool_cpu"] = round(load_share, 2)
+        row["load_tool_cpu"] = round(processor_share, 2)
         findings = await check_group(
             context.upstreams, self.record, self.options.run_id
         )
@@ -172,48 +176,50 @@
         return row
 
     def build_series(self) -> dict[str, list[float]]:
-        """Return what happened in each step of time, and the queue at its highest."""
-        span = (self.failed_s - BEFORE_S, self.end_s)
+        """Return the events counted and the queue maxima in each time step."""
+        span = (self.fault_at_s - BEFORE_S, self.last_arrival_s)
         record = self.record
-        refused_s = [at_s for at_s, _ in record.refused_s]
+        failed_at_s = [at_s for at_s, _ in record.failed_attempts]
         queue: list[tuple[float, float]] = []
         executing: list[tuple[float, float]] = []
-        for item in self.samples:
-            queue.append((item.at_s, item.waiting + item.waiting_for_primary))
-            executing.append((item.at_s, item.executing))
+        for sample in self.samples:
+            queue.append((sample.at_s, sample.waiting + sample.waiting_for_primary))
+            executing.append((sample.at_s, sample.executing))
         return {
-            "arrivals": count_in_steps(self.arrivals.arrived_s, *span),
-            "attempts": count_in_steps(record.attempted_s, *span),
-            "acknowledged": count_in_steps(record.acknowledged_s, *span),
-            "refused": count_in_steps(refused_s, *span),
-            "queue": read_in_steps(queue, *span),
-            "executing": read_in_steps(executing, *span),
+            "arrivals": count_in_steps(self.load.arrived_at_s, *span),
+            "attempts": count_in_steps(record.attempted_at_s, *span),
+            "acknowledged": count_in_steps(record.acknowledged_at_s, *span),
+            "refused": count_in_steps(failed_at_s, *span),
+            "queue": find_step_maxima(queue, *span),
+            "executing": find_step_maxima(executing, *span),
         }
 
     def summarize(self, series: dict[str, list[float]]) -> Row:
         """Compare the time before the fault with the time after it."""
-        record, failed_s = self.record, self.failed_s
+        record, fault_at_s = self.record, self.fault_at_s
         before = {name: values[:BEFORE_STEPS] for name, values in series.items()}
         after = {name: values[BEFORE_STEPS:] for name, values in series.items()}
-        kinds = Counter(kind for at_s, kind in record.refused_s if at_s >= failed_s)
+        kinds = Counter(
+            kind for at_s, kind in record.failed_attempts if at_s >= fault_at_s
+        )
         acknowledged = [before["acknowledged"], after["acknowledged"]]
         return {
-            "gap_s": round(record.find_gap_s(failed_s), 3),
+            "gap_s": round(record.find_longest_gap_s(fault_at_s), 3),
             "attempts_per_ack": round(
-                len(record.attempted_s) / max(1, len(record.acknowledged)), 2
+                len(record.attempted_at_s) / max(1, len(record.acknowledged)), 2
             ),
             "peak_attempts_before": find_peak_rate(before["attempts"]),
             "peak_attempts_after": find_peak_rate(after["attempts"]),
             "queue_before": max(before["queue"]),
             "queue_peak": max(after["queue"]),
-            "queue_back_s": find_back_s(before["queue"], after["queue"]),
+            "queue_back_s": find_rise_recovery_s(before["queue"], after["queue"]),
             "goodput_before": round(sum(before["acknowledged"]) / BEFORE_S, 1),
-            "goodput_back_s": find_recovered_s(*acknowledged),
-            "write_p99_ms": to_p99_ms(record),
+            "goodput_back_s": find_drop_recovery_s(*acknowledged),
+            "write_p99_ms": compute_write_p99_ms(record),
             "refused_after": " ".join(f"{kind}:{n}" for kind, n in kinds.most_common()),
         }
 
 
-def to_p99_ms(record: WorkloadRecord) -> float:
+def compute_write_p99_ms(record: WorkloadRecord) -> float:
     """Return the 99th percentile of the time from arrival to acknowledgement."""
     return round(1000 * (find_quantile(record.write_latencies_s, 0.99) or 0.0), 1)
--- a/ebonyrack/load/goodput.py
+++ b/ebonyrack/load/goodput.py
@@ -1,4 +1,4 @@
-"""Experiment: goodput under overload by callers that retry for ever."""
+"""Experiment: goodput under overload by callers that retry without limit."""
 
 from __future__ import annotations
 
@@ -18,40 +18,40 @@
 from ebonyrack.load.replica_share import SITES
 from ebonyrack.load.results import Row
 
-# A statement that holds a slot this long makes the slots the limit, and not the
+# A statement holds its slot this long, so that the slots are the bottleneck and not the
 # processors that the stand-ins share with the proxies.
 STATEMENT_COST_S = 0.02
 LOADS = (1, 2, 5)
 THINK_S = 0.5
 PREPARE_LIMIT_S = 40.0
-PREPARED_AT_ONCE = 8
+PREPARE_CONCURRENCY = 8
 # Nine of ten operations are reads, each one statement on one of two replicas. The
-# primary carries the writes, three statements each, within its own slots.
+# primary's slots suffice for the writes, of three statements each.
 READ_SHARE = 0.9
 CAPACITY_OPERATIONS_PER_S = 2 * SITES["siam"].slots / STATEMENT_COST_S / READ_SHARE
-UNBOUNDED: dict[str, object] = {"queue_limit": 100_000, "queue_wait_s": 60.0}
-# Short enough for the crowd to be refused; the usual queues hold all of it.
-SHORT: dict[str, object] = {"queue_limit": 20}
-QUEUES: dict[str, dict[str, object]] = {
+UNBOUNDED_QUEUE: dict[str, object] = {"queue_limit": 100_000, "queue_wait_s": 60.0}
+# Short enough for callers to be refused; the default queues hold all of them.
+SHORT_QUEUE: dict[str, object] = {"queue_limit": 20}
+QUEUE_SETTINGS: dict[str, dict[str, object]] = {
     "bounded": {},
-    "short": SHORT,
-    "unbounded": UNBOUNDED,
+    "short": SHORT_QUEUE,
+    "unbounded": UNBOUNDED_QUEUE,
 }
 
 
 @EXPERIMENTS.register("goodput")
 async def measure_goodput(context: ExperimentContext) -> ExperimentResult:
-    """Offer once, twice and five times what the group can carry.
+    """Offer one, two and five times the load that the group can serve.
 
-    The number of callers is what would offer that load if answers took no time.
+    The number of callers is chosen to offer that load if replies took no time.
     """
     rows: list[Row] = []
     site = SITES["siam"]
-    for queue, keys in QUEUES.items():
+    for queue, keys in QUEUE_SETTINGS.items():
         await context.cluster.inject("options", slots=site.slots)
         await context.cluster.change_group(**keys)
         for load in LOADS:
-            callers = round(load * CAPACITY_OPERATIONS_PER_S * THINK_S)
+            caller_count = round(load * CAPACITY_OPERATIONS_PER_S * THINK_S)
             options = replace(
                 context.options,
                 run_id=f"good{time.time_ns():x}",
@@ -62,7 +62,7 @@
             result = await run_booking(
                 context.upstreams,
                 options,
-                callers,
+                caller_count,
                 context.duration_s,
                 prepare=partial(prepare_callers, context),
             )
@@ -71,10 +71,10 @@
                 {
                     "queue": queue,
                     "load": load,
-                    "callers": callers,
+                    "callers": caller_count,
                     "goodput_per_s": round(result.done_in_time / context.duration_s, 1),
                     "refusals": sum(figures["failures"].values()),
-                    **{name: figures[name] for name in SHOWN},
+                    **{name: figures[name] for name in REPORTED_FIGURES},
                 }
             )
             print(json.dumps(rows[-1]), flush=True)
@@ -82,31 +82,33 @@
 
 
 async def prepare_callers(
-    context: ExperimentContext, crowd: list[BookingCaller]
+    context: ExperimentContext, callers: list[BookingCaller]
 ) -> None:
-    """Connect every caller to each proxy and let it reserve once, at no cost.
+    """Connect every caller to each proxy and make one reservation with each caller.
 
-    Else the load would begin with as many writes as there are callers, and the load
-    tool would be busy opening connections.
+    Otherwise the load would begin with as many writes as there are callers, while the
+    load tool is busy opening connections. Statements cost nothing during this.
 
     Args:
         context: The running cluster.
-        crowd: The callers.
+        callers: The callers.
     """
     await context.cluster.inject("options", statement_cost_s=0.0)
-    waiting = iter(crowd)
-    await asyncio.gather(*(prepare_each(waiting) for _ in range(PREPARED_AT_ONCE)))
+    remaining = iter(callers)
+    await asyncio.gather(
+        *(prepare_remaining(remaining) for _ in range(PREPARE_CONCURRENCY))
+    )
     await context.cluster.inject("options", statement_cost_s=STATEMENT_COST_S)
 
 
-async def prepare_each(waiting: Iterable[BookingCaller]) -> None:
-    """Prepare callers one after the other, until another task has taken the last."""
-    for caller in waiting:
+async def prepare_remaining(remaining: Iterable[BookingCaller]) -> None:
+    """Prepare callers from an iterator that several tasks share."""
+    for caller in remaining:
         await caller.connections.open_all()
         await caller.reserve(now_s() + PREPARE_LIMIT_S)
 
 
-SHOWN = (
+REPORTED_FIGURES = (
     "acknowledged",
     "reads",
     "write_median_ms",
--- a/ebonyrack/load/group_check.py
+++ b/ebonyrack/load/group_check.py
@@ -1,4 +1,4 @@
-"""Checks a database group itself against what callers were told."""
+"""Compares the data of a database group with the replies that callers received."""
 
 from __future__ import annotations
 
@@ -27,18 +27,18 @@
 
 
 class NoPrimaryError(Exception):
-    """No upstream that could be reached is primary."""
+    """No reachable upstream is primary."""
 
 
 @dataclass(frozen=True, slots=True)
 class GroupFindings:
-    """What the present primary holds, against what callers were told.
+    """The current primary's data compared with the replies that callers received.
 
     Attributes:
-        rows: Reservations of the run.
-        lost: Acknowledged reservations that are missing.
-        doubled: Reservations of a request or a slot beyond the first.
-        untrue_refusals: Reservations refused for good that are there.
+        rows: Number of reservations of the run.
+        lost: Number of acknowledged reservations that are missing.
+        doubled: Number of duplicate reservations of a request or of a slot.
+        untrue_refusals: Number of finally refused reservations that exist.
     """
 
     rows: int
@@ -47,10 +47,10 @@
     untrue_refusals: int
 
 
-async def open_upstream(
+async def connect_to_upstream(
     address: Address, user: str, password: str
 ) -> psycopg.AsyncConnection[tuple[object, ...]]:
-    """Open a connection to an upstream itself."""
+    """Open a direct connection to an upstream."""
     return await psycopg.AsyncConnection.connect(
         host=address.host,
         port=address.port,
@@ -67,7 +67,7 @@
 async def read_status(
     connection: psycopg.AsyncConnection[tuple[object, ...]],
 ) -> UpstreamStatus:
-    """Poll an upstream."""
+    """Poll the status of an upstream."""
     contract = EbonyrackContract()
     cursor = await connection.execute(contract.build_poll(LOG_START, 0).encode())
     row = await cursor.fetchone()
@@ -79,10 +79,10 @@
     return contract.parse_status(fields)
 
 
-async def wait_primary(
+async def wait_for_primary(
     upstreams: tuple[Address, ...], limit_s: float = PRIMARY_WAIT_S
 ) -> psycopg.AsyncConnection[tuple[object, ...]]:
-    """Open a connection to the primary, once there is one.
+    """Open a connection to the primary as soon as there is one.
 
     Args:
         upstreams: Addresses of the group's upstreams.
@@ -92,57 +92,57 @@
         The connection.
 
     Raises:
-        NoPrimaryError: If there is none within the limit.
+        NoPrimaryError: If there is no primary within the limit.
     """
     deadline_s = now_s() + limit_s
     while True:
         try:
-            return await open_primary(upstreams)
+            return await connect_to_primary(upstreams)
         except NoPrimaryError:
             if now_s() > deadline_s:
                 raise
             await asyncio.sleep(PRIMARY_POLL_S)
 
 
-async def open_primary(
+async def connect_to_primary(
     upstreams: tuple[Address, ...], user: str = ADMINISTRATOR, password: str = ""
 ) -> psycopg.AsyncConnection[tuple[object, ...]]:
-    """Open a connection to the primary of the highest term.
+    """Open a connection to the primary with the highest term.
 
     Args:
         upstreams: Addresses of the group's upstreams.
-        user: User of the upstreams.
-        password: Password of the upstreams.
+        user: User name on the upstreams.
+        password: Password on the upstreams.
 
     Returns:
         The connection.
 
     Raises:
-        NoPrimaryError: If there is none.
+        NoPrimaryError: If no reachable upstream is primary.
     """
-    best: psycopg.AsyncConnection[tuple[object, ...]] | None = None
-    best_term = -1
+    primary: psycopg.AsyncConnection[tuple[object, ...]] | None = None
+    primary_term = -1
     for address in upstreams:
         try:
-            connection = await open_upstream(address, user, password)
+            connection = await connect_to_upstream(address, user, password)
         except psycopg.Error:
             continue
         status = await read_status(connection)
         is_primary = status.role is Role.PRIMARY and status.fenced_term <= status.term
-        if not is_primary or status.term <= best_term:
+        if not is_primary or status.term <= primary_term:
             await connection.close()
             continue
-        if best is not None:
-            await best.close()
-        best, best_term = connection, status.term
-    if best is None:
-        raise NoPrimaryError("no upstream that can be reached is primary")
-    return best
+        if primary is not None:
+            await primary.close()
+        primary, primary_term = connection, status.term
+    if primary is None:
+        raise NoPrimaryError("no reachable upstream is primary")
+    return primary
 
 
 async def create_tables(upstreams: tuple[Address, ...]) -> None:
-    """Create the workload's table, without any constraint that hides doubles."""
-    async with await wait_primary(upstreams) as connection:
+    """Create the workload's table, without constraints so that duplicates show up."""
+    async with await wait_for_primary(upstreams) as connection:
         for statement in TABLE_STATEMENTS:
             await connection.execute(statement.encode())
 
@@ -150,17 +150,17 @@
 async def check_group(
     upstreams: tuple[Address, ...], record: WorkloadRecord, run_id: str
 ) -> GroupFindings:
-    """Compare the primary's reservations with what callers were told.
+    """Compare the primary's reservations with the replies that callers received.
 
     Args:
         upstreams: Addresses of the group's upstreams.
-        record: What callers were told.
-        run_id: Start of the request keys of the run.
+        record: Replies that the callers received.
+        run_id: Prefix of the request keys of the run.
 
     Returns:
         The differences.
     """
-    async with await wait_primary(upstreams) as connection:
+    async with await wait_for_primary(upstreams) as connection:
         cursor = await connection.execute("SELECT request, slot FROM reservations")
         rows = [
             (str(request), slot)
--- a/ebonyrack/load/idle_cost.py
+++ b/ebonyrack/load/idle_cost.py
@@ -1,4 +1,4 @@
-"""Processor time and memory of proxies that carry no requests."""
+"""Measures processor time and memory of proxies without requests."""
 
 from __future__ import annotations
 
@@ -14,12 +14,12 @@
 
 @dataclass(frozen=True, slots=True)
 class IdleOptions:
-    """What to measure.
+    """Proxies to measure and length of the measurement.
 
     Attributes:
-        pids: Process numbers of the proxies.
-        groups: Database groups in their document.
-        duration_s: Length of the window, in seconds.
+        pids: Process IDs of the proxies.
+        groups: Number of database groups in their document.
+        duration_s: Length of the measurement, in seconds.
     """
 
     pids: tuple[int, ...]
@@ -28,10 +28,10 @@
 
 
 async def measure_idle_cost(options: IdleOptions) -> list[Row]:
-    """Measure each proxy over one window.
+    """Measure all proxies during the same window.
 
     Args:
-        options: What to measure.
+        options: Proxies to measure and length of the measurement.
 
     Returns:
         One row for each proxy.
--- a/ebonyrack/load/proxy_connections.py
+++ b/ebonyrack/load/proxy_connections.py
@@ -1,4 +1,4 @@
-"""One caller's connections to the proxies that it roams between."""
+"""The connections of one caller to the proxies that it uses."""
 
 from __future__ import annotations
 
@@ -15,32 +15,32 @@
 
 
 class ProxyConnections:
-    """A connection to each proxy, opened when it is first used.
+    """A connection to each proxy, opened on first use.
 
     Attributes:
-        options: How the caller reaches the proxies.
-        random: The caller's source of random choices.
-        maximum_age: Age that every read accepts, such as `2s`; empty for none.
-        by_proxy: Open connections.
+        options: Addresses of the proxies and credentials.
+        random: Random number generator of the caller.
+        maximum_age: Maximum staleness of reads, such as `2s`; empty for none.
+        by_proxy: Connections by address of the proxy.
     """
 
     __slots__ = ("options", "random", "maximum_age", "by_proxy")
 
     def __init__(
-        self, options: WorkloadOptions, source: random.Random, maximum_age: str
+        self, options: WorkloadOptions, random_source: random.Random, maximum_age: str
     ) -> None:
         self.options = options
-        self.random = source
+        self.random = random_source
         self.maximum_age = maximum_age
         self.by_proxy: dict[Address, Connection] = {}
 
-    def choose(self, other_than: Address | None) -> Address:
-        """Choose a proxy, another one than given if there is one."""
+    def choose_proxy(self, other_than: Address | None) -> Address:
+        """Choose a random proxy, avoiding one if there are others."""
         choices = [item for item in self.options.proxies if item != other_than]
         return self.random.choice(choices or list(self.options.proxies))
 
-    async def open(self, proxy: Address) -> Connection:
-        """Return the open connection to a proxy, or open one."""
+    async def get_or_open(self, proxy: Address) -> Connection:
+        """Return the connection to a proxy, opening it if there is none."""
         connection = self.by_proxy.get(proxy)
         if connection is None or connection.closed:
             connection = await psycopg.AsyncConnection.connect(
@@ -56,16 +56,18 @@
             )
             self.by_proxy[proxy] = connection
             if self.maximum_age:
-                await connection.execute(build_set("max_age", self.maximum_age))
+                await connection.execute(
+                    build_set_statement("max_age", self.maximum_age)
+                )
         return connection
 
     async def open_all(self) -> None:
         """Open a connection to each proxy."""
         for proxy in self.options.proxies:
-            await self.open(proxy)
+            await self.get_or_open(proxy)
 
-    async def drop_if_broken(self, proxy: Address, error: Exception) -> None:
-        """Forget a connection that broke or whose answer is still due."""
+    async def close_if_broken(self, proxy: Address, error: Exception) -> None:
+        """Close a connection that was lost or whose reply is still outstanding."""
         connection = self.by_proxy.get(proxy)
         if connection is None:
             return
@@ -80,7 +82,7 @@
         self.by_proxy.clear()
 
 
-def build_set(variable: str, value: str) -> bytes:
+def build_set_statement(variable: str, value: str) -> bytes:
     """Build the statement that sets one of the proxy's variables."""
     escaped = value.replace("'", "''")
     return f"SET ebonyrack.{variable} = '{escaped}'".encode()
--- a/ebonyrack/load/queue_samples.py
+++ b/ebonyrack/load/queue_samples.py
@@ -1,4 +1,4 @@
-"""Samples of the proxies' queues, by the question that operators ask."""
+"""Samples the proxies' queues through operators' status requests."""
 
 from __future__ import annotations
 
@@ -17,19 +17,19 @@
 from ebonyrack.peers.operator_messages import StatusRequest
 
 SAMPLE_INTERVAL_S = 0.05
-ANSWER_TIMEOUT_S = 5.0
+REPLY_TIMEOUT_S = 5.0
 OPERATOR = "load"
 
 
 @dataclass(frozen=True, slots=True)
 class QueueSample:
-    """What all proxies together held at one moment.
+    """Queue lengths of a group, summed over all proxies.
 
     Attributes:
-        at_s: Monotonic time at which the last of them answered.
-        waiting: Requests that wait for a connection.
-        waiting_for_primary: Requests that wait until there is a primary.
-        executing: Connections in use or being opened.
+        at_s: Monotonic time at which the last proxy had replied.
+        waiting: Number of requests that wait for a connection.
+        waiting_for_primary: Number of requests that wait until there is a primary.
+        executing: Number of connections in use or being opened.
     """
 
     at_s: float
@@ -38,11 +38,11 @@
     executing: int
 
 
-def add_up(replies: list[StatusReply], group_name: str, at_s: float) -> QueueSample:
-    """Add up what proxies hold for one group.
+def sum_queues(replies: list[StatusReply], group_name: str, at_s: float) -> QueueSample:
+    """Sum the queue lengths that the proxies report for one group.
 
     Args:
-        replies: The proxies' answers.
+        replies: Status replies of the proxies.
         group_name: Name of the group.
         at_s: Monotonic time of the sample.
     """
@@ -58,35 +58,35 @@
 
 @asynccontextmanager
 async def sample_queues(context: ExperimentContext, samples: list[QueueSample]) -> Any:
-    """Add a sample to a list every 50 ms until the block ends.
+    """Sample the queues every 50 ms until the block ends.
 
     Args:
-        context: Names the proxies' peer addresses.
-        samples: Where samples go.
+        context: Provides the peer addresses of the proxies.
+        samples: List to which samples are appended.
     """
     async with AsyncExitStack() as stack:
         clients = []
         for address in context.peers:
             access = ProxyAccess(
-                (address,), context.peer_secret, OPERATOR, "", ANSWER_TIMEOUT_S
+                (address,), context.peer_secret, OPERATOR, "", REPLY_TIMEOUT_S
             )
             clients.append(await stack.enter_async_context(ProxyClient(access)))
-        task = asyncio.create_task(keep_sampling(clients, context, samples))
+        task = asyncio.create_task(run_sampling(clients, context, samples))
         try:
             yield
         finally:
             await end_tasks([task])
 
 
-async def keep_sampling(
+async def run_sampling(
     clients: list[ProxyClient], context: ExperimentContext, samples: list[QueueSample]
 ) -> None:
-    """Sample until it is cancelled."""
+    """Sample the queues periodically until cancelled."""
     request = StatusRequest(False)
     while True:
-        due_s = now_s() + SAMPLE_INTERVAL_S
+        next_sample_s = now_s() + SAMPLE_INTERVAL_S
         replies = await asyncio.gather(
             *(client.request(request, StatusReply) for client in clients)
         )
-        samples.append(add_up(list(replies), context.cluster.group, now_s()))
-        await asyncio.sleep(max(0.0, due_s - now_s()))
+        samples.append(sum_queues(list(replies), context.cluster.group, now_s()))
+        await asyncio.sleep(max(0.0, next_sample_s - now_s()))
--- a/ebonyrack/load/replica_share.py
+++ b/ebonyrack/load/replica_share.py
@@ -1,4 +1,4 @@
-"""Experiment: share of reads served by replicas, and what reads cost."""
+"""Experiment: share of reads served by replicas, and latency of reads."""
 
 from __future__ import annotations
 
@@ -13,34 +13,35 @@
 from ebonyrack.load.context import ExperimentResult
 from ebonyrack.load.results import Row
 
-CALLERS = 24
+CALLER_COUNT = 24
 THINK_S = 0.02
 LAGS_S = (0.02, 0.5)
 POLICIES = ("quorum", "primary_only", "primary_after_write")
-# Seven of ten callers are visitors; the others write more, so that a tenth of all
-# operations still writes.
+# Seven of ten callers are visitors; the others write more often, so that a tenth of
+# all operations are still writes.
 VISITOR_SHARE = 0.7
 WRITE_SHARE = 0.1
 VISITOR_AGE = "2s"
 
 
 @dataclass(frozen=True, slots=True)
-class Crowd:
-    """Who reads: callers of one kind, or visitors beside callers who book.
+class CallerMix:
+    """Mix of callers who book and visitors who only read.
 
     Attributes:
-        visitor_share: Share of callers who only read.
-        visitor_age: Age that those accept, or an empty string.
+        visitor_share: Share of callers who are visitors.
+        visitor_age: Maximum staleness of the visitors' reads, such as `2s`; empty for
+            none.
     """
 
     visitor_share: float = 0.0
     visitor_age: str = ""
 
 
-CROWDS = {
-    "all book": Crowd(),
-    "visitors": Crowd(VISITOR_SHARE),
-    f"visitors, {VISITOR_AGE} old": Crowd(VISITOR_SHARE, VISITOR_AGE),
+CALLER_MIXES = {
+    "all book": CallerMix(),
+    "visitors": CallerMix(VISITOR_SHARE),
+    f"visitors, {VISITOR_AGE} old": CallerMix(VISITOR_SHARE, VISITOR_AGE),
 }
 
 
@@ -49,8 +50,8 @@
     """Sizes of one of the users' database groups.
 
     Attributes:
-        slots: Statements that run at the same time on an upstream.
-        connection_limit: Connections of an upstream.
+        slots: Number of statements that run at the same time on an upstream.
+        connection_limit: Number of connections that an upstream accepts.
         connection_cost_s: Time to open a connection, in seconds.
         link_delay_s: One-way delay between proxies and upstreams, in seconds.
     """
@@ -67,10 +68,10 @@
 }
 
 
-async def set_site(
+async def configure_group(
     context: ExperimentContext, site: Site, lag_s: float, **keys: object
 ) -> None:
-    """Give the group a site's sizes and a lag of its replicas."""
+    """Configure the group with the sizes of a site and a replication lag."""
     await context.cluster.inject(
         "options",
         slots=site.slots,
@@ -87,42 +88,44 @@
 
 @EXPERIMENTS.register("replica_share")
 async def measure_replica_share(context: ExperimentContext) -> ExperimentResult:
-    """Run the booking workload for each site, lag, read policy and crowd."""
+    """Run the booking workload for each site, lag, read policy and mix of callers."""
     rows: list[Row] = []
     for site_name, site in SITES.items():
         for lag_s in LAGS_S:
             for policy in context.policies or POLICIES:
-                await set_site(context, site, lag_s, read_policy=policy)
-                for crowd_name, crowd in CROWDS.items():
-                    row = await run_crowd(context, crowd)
+                await configure_group(context, site, lag_s, read_policy=policy)
+                for mix_name, mix in CALLER_MIXES.items():
+                    row = await run_mix(context, mix)
                     condition = {
                         "site": site_name,
                         "lag_ms": round(lag_s * 1000),
                         "policy": policy,
-                        "crowd": crowd_name,
+                        "crowd": mix_name,
                     }
                     rows.append({**condition, **row})
                     print(json.dumps(rows[-1]), flush=True)
     return ExperimentResult(rows, rows)
 
 
-async def run_crowd(context: ExperimentContext, crowd: Crowd) -> Row:
-    """Run the workload with one kind of crowd."""
+async def run_mix(context: ExperimentContext, mix: CallerMix) -> Row:
+    """Run the workload with one mix of callers and return its figures."""
     options = replace(
         context.options,
         run_id=f"share{time.time_ns():x}",
         think_s=THINK_S,
         sample_share=1.0,
-        write_share=WRITE_SHARE / (1 - crowd.visitor_share),
-        visitor_share=crowd.visitor_share,
-        visitor_age=crowd.visitor_age,
+        write_share=WRITE_SHARE / (1 - mix.visitor_share),
+        visitor_share=mix.visitor_share,
+        visitor_age=mix.visitor_age,
+    )
+    result = await run_booking(
+        context.upstreams, options, CALLER_COUNT, context.duration_s
     )
-    result = await run_booking(context.upstreams, options, CALLERS, context.duration_s)
     figures = result.summarize()
-    return {name: figures[name] for name in SHOWN}
+    return {name: figures[name] for name in REPORTED_FIGURES}
 
 
-SHOWN = (
+REPORTED_FIGURES = (
     "replica_read_share",
     "read_median_ms",
     "read_p99_ms",
--- a/ebonyrack/load/report.py
+++ b/ebonyrack/load/report.py
@@ -12,7 +12,7 @@
 from ebonyrack.load.time_steps import BEFORE_S
 from ebonyrack.load.time_steps import PEAK_STEPS
 from ebonyrack.load.time_steps import STEP_S
-from ebonyrack.load.time_steps import average
+from ebonyrack.load.time_steps import compute_moving_average
 
 WIDTH_INCHES = 8.0
 HEIGHT_INCHES = 4.5
@@ -27,16 +27,16 @@
 
 
 def draw_report(results: Path, plots: Path) -> list[Path]:
-    """Draw a plot for each result file that has one.
+    """Draw the plot of each result file for which one is registered.
 
     Args:
         results: Directory of the result files.
         plots: Directory of the pictures.
 
     Returns:
-        The pictures.
+        Paths of the pictures.
     """
-    # The library is large and only this command needs it.
+    # matplotlib is large and only this command needs it.
     import matplotlib
 
     matplotlib.use("Agg")
@@ -64,19 +64,19 @@
     return list(dict.fromkeys(tuple(row[name] for name in names) for row in rows))
 
 
-def spread_points(column: int, count: int) -> list[float]:
-    """Return places side by side in a column for some points."""
+def compute_point_positions(column: int, count: int) -> list[float]:
+    """Return x positions that spread points side by side within a column."""
     return [column + (index / count - 0.5) * 0.5 for index in range(count)]
 
 
-def place_bars(number: int, width: float, count: int) -> list[float]:
-    """Return the places of one series of bars, one in each of some clusters."""
+def compute_bar_positions(number: int, width: float, count: int) -> list[float]:
+    """Return the x positions of one series of bars, one bar for each cluster."""
     return [index + (number + 0.5) * width - 0.4 for index in range(count)]
 
 
 @PLOTS.register("failover_gap")
 def plot_failover_gap(axes: Any, rows: list[Row]) -> None:
-    """Draw the gap of each trial, one column for each condition."""
+    """Plot the gap of each trial, one column for each condition."""
     conditions = find_distinct(rows, "policy", "fault", "store_up")
     labels = []
     for column, (policy, fault, store_up) in enumerate(conditions):
@@ -86,7 +86,7 @@
             if (row["policy"], row["fault"], row["store_up"])
             == (policy, fault, store_up)
         ]
-        axes.scatter(spread_points(column, len(gaps)), gaps, s=12)
+        axes.scatter(compute_point_positions(column, len(gaps)), gaps, s=12)
         labels.append(f"{policy}, {fault}, store {'up' if store_up else 'down'}")
     axes.axhline(MEDIAN_TARGET_S, linestyle="--", color="grey", linewidth=1)
     axes.axhline(P99_TARGET_S, linestyle=":", color="grey", linewidth=1)
@@ -100,25 +100,26 @@
 
 @PLOTS.register("replica_share")
 def plot_replica_share(axes: Any, rows: list[Row]) -> None:
-    """Draw the share of reads on replicas for each policy and crowd."""
+    """Plot the share of reads on replicas for each policy and mix of callers."""
     series = find_distinct(rows, "policy", "crowd")
-    places = find_distinct(rows, "site", "lag_ms")
+    conditions = find_distinct(rows, "site", "lag_ms")
     width = 0.8 / len(series)
-    for number, (policy, crowd) in enumerate(series):
+    for number, (policy, mix) in enumerate(series):
         shares = []
-        for site, lag_ms in places:
+        for site, lag_ms in conditions:
             matching = [
                 row["replica_read_share"] or 0.0
                 for row in rows
                 if (row["site"], row["lag_ms"]) == (site, lag_ms)
-                and (row["policy"], row["crowd"]) == (policy, crowd)
+                and (row["policy"], row["crowd"]) == (policy, mix)
             ]
             shares.append(matching[0] if matching else 0.0)
-        positions = place_bars(number, width, len(places))
-        axes.bar(positions, shares, width, label=f"{policy}: {crowd}")
+        positions = compute_bar_positions(number, width, len(conditions))
+        axes.bar(positions, shares, width, label=f"{policy}: {mix}")
     axes.axhline(SHARE_TARGET, linestyle="--", color="grey", linewidth=1)
     axes.set_xticks(
-        range(len(places)), [f"{site}\n{lag_ms} ms lag" for site, lag_ms in places]
+        range(len(conditions)),
+        [f"{site}\n{lag_ms} ms lag" for site, lag_ms in conditions],
     )
     axes.set_ylabel("share of reads on replicas")
     axes.set_ylim(0, 1.05)
@@ -128,33 +129,33 @@
 
 @PLOTS.register("acknowledge_cost")
 def plot_acknowledge_cost(axes: Any, rows: list[Row]) -> None:
-    """Draw the median time of a write under each policy."""
+    """Plot the median latency of a write under each policy."""
     policies = [policy for (policy,) in find_distinct(rows, "policy")]
-    crowds = find_distinct(rows, "keyed", "callers")
+    conditions = find_distinct(rows, "keyed", "callers")
     width = 0.8 / len(policies)
     for number, policy in enumerate(policies):
         medians = [
             row["median_ms"]
-            for keyed, callers in crowds
+            for keyed, callers in conditions
             for row in rows
             if (row["keyed"], row["callers"]) == (keyed, callers)
             and row["policy"] == policy
         ]
-        positions = place_bars(number, width, len(crowds))
+        positions = compute_bar_positions(number, width, len(conditions))
         axes.bar(positions, medians, width, label=policy)
     labels = [
         f"{'with' if keyed else 'no'} key\n{callers} caller(s)"
-        for keyed, callers in crowds
+        for keyed, callers in conditions
     ]
-    axes.set_xticks(range(len(crowds)), labels)
+    axes.set_xticks(range(len(conditions)), labels)
     axes.set_ylabel("median write (ms)")
     axes.legend()
-    axes.set_title("Time of a write by acknowledgement policy")
+    axes.set_title("Latency of a write by acknowledgement policy")
 
 
 @PLOTS.register("goodput")
 def plot_goodput(axes: Any, rows: list[Row]) -> None:
-    """Draw the goodput against the load."""
+    """Plot the goodput against the load."""
     for (queue,) in find_distinct(rows, "queue"):
         chosen = [row for row in rows if row["queue"] == queue]
         axes.plot(
@@ -163,16 +164,16 @@
             marker="o",
             label=f"{queue} queue",
         )
-    axes.set_xlabel("offered load, in times of what the group can carry")
-    axes.set_ylabel("operations done per second")
+    axes.set_xlabel("offered load, as a multiple of the group's capacity")
+    axes.set_ylabel("operations completed per second")
     axes.set_ylim(bottom=0)
     axes.legend()
-    axes.set_title("Goodput with callers that retry for ever")
+    axes.set_title("Goodput with callers that retry without limit")
 
 
 @PLOTS.register("failover_queue")
 def plot_failover_queue(axes: Any, rows: list[Row]) -> None:
-    """Draw attempts, goodput and queue through each failover, one column each."""
+    """Plot attempts, goodput and queue during each failover, one column each."""
     figure = axes.figure
     axes.remove()
     width, height = PANEL_INCHES
@@ -180,16 +181,16 @@
     panels = figure.subplots(2, len(rows), sharex=True, sharey="row", squeeze=False)
     for (top, bottom), row in zip(panels.T, rows, strict=True):
         for name in ("attempts", "arrivals", "acknowledged"):
-            counts = average(row["series"][name], PEAK_STEPS)
+            counts = compute_moving_average(row["series"][name], PEAK_STEPS)
             rates = [count / STEP_S for count in counts]
-            top.plot(find_step_times(rates), rates, linewidth=0.8, label=name)
+            top.plot(compute_step_times(rates), rates, linewidth=0.8, label=name)
         for name in ("queue", "executing"):
             values = row["series"][name]
-            bottom.plot(find_step_times(values), values, linewidth=0.8, label=name)
+            bottom.plot(compute_step_times(values), values, linewidth=0.8, label=name)
         top.set_title(
-            f"{row['policy']}, {row['fault']}\nback {row['retries']}", fontsize=8
+            f"{row['policy']}, {row['fault']}\nretry {row['retries']}", fontsize=8
         )
-        # One storm would press all other curves to the ground on a linear scale.
+        # On a linear scale, one retry storm would flatten all other curves.
         top.set_yscale("symlog", linthresh=100)
         bottom.set_xlabel("seconds after the fault")
     panels[0][0].set_ylabel("per second, over 0.25 s")
@@ -198,6 +199,6 @@
     panels[1][0].legend(fontsize=7)
 
 
-def find_step_times(values: list[float]) -> list[float]:
+def compute_step_times(values: list[float]) -> list[float]:
     """Return the time of each value of a series, in seconds after the fault."""
     return [step * STEP_S - BEFORE_S for step in range(len(values))]
--- a/ebonyrack/load/results.py
+++ b/ebonyrack/load/results.py
@@ -1,4 +1,4 @@
-"""Result files: JSON lines and a table for people."""
+"""Writes and reads result files, and formats rows as a table."""
 
 from __future__ import annotations
 
@@ -14,15 +14,15 @@
 
 
 def write_results(directory: Path, name: str, rows: list[Row]) -> Path:
-    """Write the rows of a run as JSON lines, with the machine and the command.
+    """Write rows as JSON lines after a header on the environment and the command.
 
     Args:
-        directory: Directory of all results.
+        directory: Directory of the result files.
         name: Name of the measurement.
-        rows: Its rows.
+        rows: Rows of the measurement.
 
     Returns:
-        The file.
+        Path of the file.
     """
     directory.mkdir(parents=True, exist_ok=True)
     path = directory / f"{name}.jsonl"
@@ -38,17 +38,17 @@
 
 
 def read_results(path: Path) -> tuple[Row, list[Row]]:
-    """Read a result file back: its header and its rows."""
+    """Read the header and the rows of a result file."""
     lines = path.read_text(encoding="utf-8").splitlines()
     header, *rows = (json.loads(line) for line in lines)
     return header, rows
 
 
 def format_rows(rows: list[Row]) -> str:
-    """Lay rows out as a Markdown table, without series.
+    """Format rows as a Markdown table, omitting fields that hold mappings.
 
     Args:
-        rows: Rows with the same names.
+        rows: Rows with the same fields.
     """
     if not rows:
         return "(no rows)"
@@ -65,7 +65,7 @@
 
 
 def format_cell(value: Any) -> str:
-    """Write one value of a table."""
+    """Format one value of a table."""
     if value is None:
         return "-"
     if isinstance(value, float):
--- a/ebonyrack/load/simple_query_client.py
+++ b/ebonyrack/load/simple_query_client.py
@@ -1,4 +1,4 @@
-"""A small client of the PostgreSQL protocol for measurements with many callers."""
+"""A minimal PostgreSQL client for measurements with many callers."""
 
 from __future__ import annotations
 
@@ -21,18 +21,18 @@
 
 
 class SimpleQueryError(Exception):
-    """The server refused, or the connection broke."""
+    """The server refused the startup, or the connection was lost."""
 
 
 class SimpleQueryClient(Component):
-    """One connection without a password that sends simple queries.
+    """A connection without a password that sends simple queries.
 
     Attributes:
-        address: Where it connects.
-        database: Database asked for.
-        user: User.
-        error: Raw ErrorResponse of the last query, or empty.
-        rows: Number of rows of the last query.
+        address: Address of the server.
+        database: Name of the database.
+        user: User name.
+        error: Body of the ErrorResponse to the last query, or empty.
+        rows: Number of rows that the last query returned.
     """
 
     __slots__ = ("address", "database", "user", "error", "rows", "reader", "writer")
@@ -49,25 +49,26 @@
         self.writer: asyncio.StreamWriter
 
     async def start(self) -> None:
-        """Connect and do the startup."""
+        """Open the connection."""
         await self.open()
 
     async def stop(self) -> None:
-        """Leave."""
+        """Close the connection."""
         self.close()
 
     async def open(self) -> None:
-        """Connect and do the startup.
+        """Connect and start a session.
 
         Raises:
-            SimpleQueryError: If the server refuses or asks for a password.
+            SimpleQueryError: If the server refuses the startup or requires a password,
+                or if the connection is lost.
         """
         self.reader, self.writer = await asyncio.open_connection(
             self.address.host, self.address.port, limit=READ_LIMIT
         )
         params = {"user": self.user, "database": self.database}
         self.writer.write(StartupMessage(params).to_wire())
-        await self.read_answer()
+        await self.read_reply()
         if self.error:
             raise SimpleQueryError(self.error.decode(errors="replace"))
 
@@ -81,21 +82,21 @@
             Whether it succeeded.
 
         Raises:
-            SimpleQueryError: If the connection breaks.
+            SimpleQueryError: If the connection is lost.
         """
         return await self.send(Query(sql).to_wire())
 
     async def send(self, frame: bytes) -> bool:
-        """Send a query that is encoded already; return whether it succeeded."""
+        """Send an encoded query; return whether it succeeded."""
         self.writer.write(frame)
-        await self.read_answer()
+        await self.read_reply()
         return not self.error
 
-    async def read_answer(self) -> None:
-        """Read up to the next ReadyForQuery.
+    async def read_reply(self) -> None:
+        """Read messages up to the next ReadyForQuery.
 
         Raises:
-            SimpleQueryError: If the connection breaks.
+            SimpleQueryError: If the connection is lost.
         """
         self.error = b""
         self.rows = 0
@@ -114,6 +115,6 @@
             raise SimpleQueryError(repr(error) + repr(self.error)) from error
 
     def close(self) -> None:
-        """Leave."""
+        """Send Terminate and close the connection."""
         self.writer.write(Terminate().to_wire())
         self.writer.close()
--- a/ebonyrack/load/simple_query_client_test.py
+++ b/ebonyrack/load/simple_query_client_test.py
@@ -10,7 +10,7 @@
 from ebonyrack.standins.options import UpstreamOptions
 
 
-async def test_client_counts_rows_and_keeps_errors():
+async def test_query_counts_rows_and_stores_the_error():
     async with StandinGroup(count=1) as group:
         async with SimpleQueryClient(group["up-1"].address) as client:
             assert await client.query("VALUES (1), (2)")
@@ -22,17 +22,17 @@
                 await client.query("SELECT 1")
 
 
-async def test_refused_startup_is_an_error():
+async def test_refused_startup_raises_an_error():
     options = UpstreamOptions(connection_limit=0)
     async with StandinGroup(count=1, options=options) as group:
         with pytest.raises(SimpleQueryError, match="too many"):
             await SimpleQueryClient(group["up-1"].address).open()
 
 
-async def test_bench_gives_all_figures(monkeypatch):
+async def test_bench_reports_figures_of_all_comparisons(monkeypatch):
     monkeypatch.setattr("ebonyrack.load.bench.SERIAL_BLOCKS", 1)
     monkeypatch.setattr("ebonyrack.load.bench.BLOCK_STATEMENTS", 5)
-    monkeypatch.setattr("ebonyrack.load.bench.SETTLE_S", 0.0)
+    monkeypatch.setattr("ebonyrack.load.bench.MEMORY_WAIT_S", 0.0)
     async with StandinGroup(count=1) as group:
         address = group["up-1"].address
         options = BenchOptions(address, address, os.getpid(), 2, 0.05, 5)
--- a/ebonyrack/load/soak.py
+++ b/ebonyrack/load/soak.py
@@ -1,4 +1,4 @@
-"""Runs real proxies as processes under random faults and checks their promises."""
+"""Runs real proxies as processes under random faults and checks their guarantees."""
 
 from __future__ import annotations
 
@@ -18,116 +18,120 @@
 from ebonyrack.load.soak_system import SoakSystem
 from ebonyrack.standins.line_system import LineCaller
 
-# Between two faults, in seconds; they last longer, so that they overlap.
+# Pauses between the starts of two faults; faults last longer, so they overlap.
 FAULT_PAUSES_S = (0.1, 0.8)
-FAULT_LENGTHS_S = (0.2, 2.0)
-# All proxies serve writes within this time after the last fault: the store's settling
-# time, one promotion and a restart, with room for a busy machine.
-RECOVERY_S = 15.0
-SETTLE_S = 3.0
+FAULT_DURATIONS_S = (0.2, 2.0)
+# All proxies serve writes within this time after the last fault. It covers the time
+# until the store is stable, a promotion and a restart, also on a busy machine.
+RECOVERY_LIMIT_S = 15.0
+STABILIZATION_S = 3.0
 
 
 async def run_soak(options: SoakOptions) -> dict[str, object]:
-    """Run one soak.
+    """Run one soak test.
 
     Args:
-        options: What it does.
+        options: Seed and size of the soak.
 
     Returns:
-        What was done and found; `faults` lists every broken promise.
+        Counts of what happened; `faults` lists every violated guarantee.
     """
     with tempfile.TemporaryDirectory(prefix="ebonyrack-soak-") as folder:
         async with SoakSystem(options, Path(folder)) as system:
-            await recover(system)
-            await asyncio.sleep(SETTLE_S)
+            await wait_for_recovery(system)
+            await asyncio.sleep(STABILIZATION_S)
             callers = [
                 SoakCaller(number, system.daemons, options.seed)
                 for number in range(options.callers)
             ]
             tasks = [asyncio.create_task(caller.run()) for caller in callers]
             injected = await inject_faults(system)
-            unserved = await recover(system)
+            unrecovered = await wait_for_recovery(system)
             await end_tasks(tasks)
-            return report(system, callers, injected, unserved)
+            return build_report(system, callers, injected, unrecovered)
 
 
 async def inject_faults(system: SoakSystem) -> Counter[str]:
-    """Bring about faults, one after the other and overlapping.
+    """Inject random, overlapping faults.
 
     Returns:
-        How often each was brought about.
+        How often each fault was injected.
     """
     injected: Counter[str] = Counter()
-    ends_s = now_s() + system.options.duration_s
+    deadline_s = now_s() + system.options.duration_s
     async with AsyncExitStack() as stack:
         group = await stack.enter_async_context(asyncio.TaskGroup())
-        while now_s() < ends_s:
-            await asyncio.sleep(system.draws.uniform(*FAULT_PAUSES_S))
-            name = system.draws.choice(sorted(FAULTS.entries))
+        while now_s() < deadline_s:
+            await asyncio.sleep(system.random.uniform(*FAULT_PAUSES_S))
+            name = system.random.choice(sorted(FAULTS.entries))
             injected[name] += 1
-            length_s = system.draws.uniform(*FAULT_LENGTHS_S)
-            group.create_task(run_fault(FAULTS.get(name), system, length_s))
+            duration_s = system.random.uniform(*FAULT_DURATIONS_S)
+            group.create_task(run_fault(FAULTS.get(name), system, duration_s))
     return injected
 
 
-async def run_fault(fault: Fault, system: SoakSystem, length_s: float) -> None:
-    """Bring one fault about."""
-    await fault(system, length_s)
+async def run_fault(fault: Fault, system: SoakSystem, duration_s: float) -> None:
+    """Inject one fault."""
+    await fault(system, duration_s)
 
 
-async def recover(system: SoakSystem) -> list[str]:
-    """Wait until each proxy serves a write; return the names of those that don't."""
-    unserved = []
+async def wait_for_recovery(system: SoakSystem) -> list[str]:
+    """Wait until each proxy serves writes; return the names of those that don't."""
+    unrecovered = []
     for daemon in system.daemons:
-        ends_s = now_s() + RECOVERY_S
+        deadline_s = now_s() + RECOVERY_LIMIT_S
         while not await serves_write(daemon):
-            if now_s() > ends_s:
-                unserved.append(daemon.name)
+            if now_s() > deadline_s:
+                unrecovered.append(daemon.name)
                 break
             await asyncio.sleep(0.1)
-    return unserved
+    return unrecovered
 
 
 async def serves_write(daemon: SoakDaemon) -> bool:
-    """Return whether a proxy serves a write now."""
+    """Return whether a proxy serves a write."""
     try:
         async with asyncio.timeout(2.0):
             async with LineCaller(daemon.address, "booking") as caller:
-                answer = await caller.execute(f"WRITE recovery-{daemon.name} x")
-                return bool(answer) and answer[0].startswith("COMPLETE")
+                reply = await caller.execute(f"WRITE recovery-{daemon.name} x")
+                return bool(reply) and reply[0].startswith("COMPLETE")
     except (OSError, TimeoutError):
         return False
 
 
-def report(
+def build_report(
     system: SoakSystem,
     callers: list[SoakCaller],
     injected: Counter[str],
-    unserved: list[str],
+    unrecovered: list[str],
 ) -> dict[str, object]:
-    """Check the group's log against what the callers were told."""
-    faults = [fault for caller in callers for fault in caller.ledger.faults]
-    faults += [f"{name} did not recover" for name in unserved]
-    leader = system.group.primary
-    kept = Counter(
+    """Compare the primary's log with the replies that the callers received."""
+    violations = [text for caller in callers for text in caller.ledger.violations]
+    violations += [f"{name} did not recover" for name in unrecovered]
+    primary = system.group.primary
+    stored = Counter(
         data
-        for entry in (leader.log if leader is not None else [])
+        for entry in (primary.log if primary is not None else [])
         for item, data in entry.writes
         if item.startswith("item")
     )
     for caller in callers:
         ledger = caller.ledger
-        faults += [f"lost {each}" for each in ledger.acknowledged if not kept[each]]
-        faults += [f"refused, but kept: {each}" for each in ledger.refused & set(kept)]
-    faults += [f"doubled {value}" for value, count in kept.items() if count > 1]
+        violations += [
+            f"lost {value}" for value in ledger.acknowledged if not stored[value]
+        ]
+        violations += [
+            f"refused, but stored: {value}" for value in ledger.refused & set(stored)
+        ]
+    violations += [f"doubled {value}" for value, count in stored.items() if count > 1]
     return {
         "seed": system.options.seed,
         "served": sum(caller.ledger.served for caller in callers),
-        "acknowledged": sum(len(each.ledger.acknowledged) for each in callers),
-        "unknown": sum(len(each.ledger.unknown) for each in callers),
-        "refused": sum(len(each.ledger.refused) for each in callers),
+        "acknowledged": sum(len(caller.ledger.acknowledged) for caller in callers),
+        "unknown": sum(len(caller.ledger.unknown) for caller in callers),
+        "refused": sum(len(caller.ledger.refused) for caller in callers),
         "promotions": len(system.group.promotions),
-        "starts": sum(daemon.starts for daemon in system.daemons),
+        "starts": sum(daemon.start_count for daemon in system.daemons),
         "injected": dict(sorted(injected.items())),
-        "faults": faults,
+        "faults": violations,
     }
--- a/ebonyrack/load/soak_caller.py
+++ b/ebonyrack/load/soak_caller.py
@@ -1,4 +1,4 @@
-"""A caller of the soak: writes, reads back, and checks what it was promised."""
+"""A caller of the soak, which writes, reads back and checks the guarantees."""
 
 from __future__ import annotations
 
@@ -11,27 +11,29 @@
 from ebonyrack.load.soak_daemon import SoakDaemon
 from ebonyrack.standins.line_system import LineCaller
 
-ANSWER_TIMEOUT_S = 5.0
+REPLY_TIMEOUT_S = 5.0
 RETRY_PAUSE_S = 0.05
-# Codes with which a refusal says that nothing was kept.
-PROMISES = frozenset({"BUSY", "ABORTED", "LAGGING", "READONLY", "WRONGNODE", "TOOMANY"})
-# Share of the requests that write, and of those that do so in a transaction.
+# Error codes which guarantee that the write was not stored.
+NOT_STORED_CODES = frozenset(
+    {"BUSY", "ABORTED", "LAGGING", "READONLY", "WRONGNODE", "TOOMANY"}
+)
+# Share of requests that write, and share of writes that use a transaction.
 WRITE_SHARE = 0.4
 TRANSACTION_SHARE = 0.3
 
 
 @dataclass(slots=True)
-class Ledger:
-    """What one caller was told of its writes to one item, which nobody else writes.
+class WriteLedger:
+    """Outcomes of the writes of one caller to an item that only it writes.
 
     Attributes:
-        item: The item.
+        item: Name of the item.
         number: Number of the last write.
         acknowledged: Values that were acknowledged, in order.
-        unknown: Values whose outcome is not known.
-        refused: Values that were promised not to be kept.
-        faults: What was found wrong.
-        served: Requests that were served.
+        unknown: Values with an unknown outcome.
+        refused: Values that are guaranteed not to be stored.
+        violations: Descriptions of violated guarantees.
+        served: Number of requests served.
     """
 
     item: str
@@ -39,7 +41,7 @@
     acknowledged: list[str] = field(default_factory=list)
     unknown: set[str] = field(default_factory=set)
     refused: set[str] = field(default_factory=set)
-    faults: list[str] = field(default_factory=list)
+    violations: list[str] = field(default_factory=list)
     served: int = 0
 
     def next_value(self) -> str:
@@ -47,49 +49,51 @@
         self.number += 1
         return f"{self.item}-{self.number}"
 
-    def note_answer(self, value: str, answer: list[str]) -> None:
-        """Sort a write by its answer."""
-        first = answer[0] if answer else ""
+    def record_outcome(self, value: str, reply: list[str]) -> None:
+        """Record the outcome of a write by its reply."""
+        first = reply[0] if reply else ""
         if first.startswith("COMPLETE"):
             self.acknowledged.append(value)
             self.served += 1
-        elif first.startswith("ERROR") and first.split()[1] in PROMISES:
+        elif first.startswith("ERROR") and first.split()[1] in NOT_STORED_CODES:
             self.refused.add(value)
         else:
             self.unknown.add(value)
 
-    def check_read(self, answer: list[str], where: str) -> None:
-        """Check that a read shows the last acknowledged write, or an unknown one."""
-        if not answer or not answer[0].startswith("DATAROW"):
+    def check_read(self, reply: list[str], database: str) -> None:
+        """Check that a read returns the last acknowledged value or an unknown one."""
+        if not reply or not reply[0].startswith("DATAROW"):
             return
         self.served += 1
-        value = answer[0].split()[1]
+        value = reply[0].split()[1]
         last = self.acknowledged[-1] if self.acknowledged else "none"
         if value != last and value not in self.unknown:
-            self.faults.append(f"{where} read {value} after {last} was acknowledged")
+            self.violations.append(
+                f"{database} read {value} after {last} was acknowledged"
+            )
 
 
 class SoakCaller:
-    """Sends requests over sessions to any proxy until told to stop.
+    """Sends requests in sessions with randomly chosen proxies until cancelled.
 
     Attributes:
-        daemons: The proxies.
-        ledger: What it was told.
-        draws: Its own random numbers.
+        daemons: The proxy processes.
+        ledger: Outcomes of the caller's writes.
+        random: Random number generator of the caller.
     """
 
-    __slots__ = ("daemons", "ledger", "draws")
+    __slots__ = ("daemons", "ledger", "random")
 
     def __init__(self, number: int, daemons: list[SoakDaemon], seed: int) -> None:
         self.daemons = daemons
-        self.ledger = Ledger(f"item{number}")
-        self.draws = random.Random(f"{seed} {number}")
+        self.ledger = WriteLedger(f"item{number}")
+        self.random = random.Random(f"{seed} {number}")
 
     async def run(self) -> None:
-        """Open sessions and use each until it ends, until cancelled."""
+        """Open one session after another until cancelled."""
         while True:
-            daemon = self.draws.choice(self.daemons)
-            database = self.draws.choice(["booking", "confirmation"])
+            daemon = self.random.choice(self.daemons)
+            database = self.random.choice(["booking", "confirmation"])
             caller = LineCaller(daemon.address, database)
             with contextlib.suppress(OSError, TimeoutError):
                 async with caller:
@@ -97,54 +101,60 @@
             await asyncio.sleep(RETRY_PAUSE_S)
 
     async def use_session(self, caller: LineCaller) -> None:
-        """Use a session for some requests, each read after a write in it."""
+        """Send some requests in a session; read only if the result can be checked."""
         if not caller.startup_reply.startswith("READY"):
             return
-        # A session of its own sees what it has done itself; on the other database
-        # reads see what anybody has done.
-        has_written = caller.database == "booking"
-        for _ in range(self.draws.randint(1, 30)):
-            if self.draws.random() < WRITE_SHARE:
-                has_written = await self.write(caller) or has_written
-            elif has_written:
-                answer = await self.ask(caller, f"READ {self.ledger.item}")
-                self.ledger.check_read(answer, caller.database)
-            await asyncio.sleep(self.draws.uniform(0, 0.02))
+        # On `confirmation`, reads see the acknowledged writes of their own session, on
+        # `booking` those of any session.
+        can_check_reads = caller.database == "booking"
+        for _ in range(self.random.randint(1, 30)):
+            if self.random.random() < WRITE_SHARE:
+                can_check_reads = await self.write(caller) or can_check_reads
+            elif can_check_reads:
+                reply = await self.send_statement(caller, f"READ {self.ledger.item}")
+                self.ledger.check_read(reply, caller.database)
+            await asyncio.sleep(self.random.uniform(0, 0.02))
 
     async def write(self, caller: LineCaller) -> bool:
-        """Write once, alone or in a transaction; return whether it was acknowledged."""
+        """Write once, maybe in a transaction; return whether it was acknowledged."""
         value = self.ledger.next_value()
         statement = f"WRITE {self.ledger.item} {value}"
-        if self.draws.random() >= TRANSACTION_SHARE:
-            answer = await self.ask_or_doubt(caller, statement, value)
-            self.ledger.note_answer(value, answer)
+        if self.random.random() >= TRANSACTION_SHARE:
+            reply = await self.send_write(caller, statement, value)
+            self.ledger.record_outcome(value, reply)
             return value in self.ledger.acknowledged[-1:]
         for text in ("BEGIN", statement):
-            answer = await self.ask(caller, text)
-            if not answer or not answer[0].startswith("COMPLETE"):
+            reply = await self.send_statement(caller, text)
+            if not reply or not reply[0].startswith("COMPLETE"):
                 self.ledger.refused.add(value)
-                await self.ask(caller, "ROLLBACK")
+                await self.send_statement(caller, "ROLLBACK")
                 return False
-        answer = await self.ask_or_doubt(caller, "COMMIT", value)
-        self.ledger.note_answer(value, answer)
+        reply = await self.send_write(caller, "COMMIT", value)
+        self.ledger.record_outcome(value, reply)
         return value in self.ledger.acknowledged[-1:]
 
-    async def ask_or_doubt(
-        self, caller: LineCaller, text: str, value: str
-    ) -> list[str]:
-        """Ask; without an answer the outcome of the value is not known."""
+    async def send_write(self, caller: LineCaller, text: str, value: str) -> list[str]:
+        """Send a write or its commit; without a reply the outcome is unknown."""
         try:
-            return await self.ask(caller, text)
+            return await self.send_statement(caller, text)
         except (OSError, TimeoutError):
             self.ledger.unknown.add(value)
             raise
 
-    async def ask(self, caller: LineCaller, text: str) -> list[str]:
-        """Ask within a time; an answer that breaks off ends the session."""
-        async with asyncio.timeout(ANSWER_TIMEOUT_S):
-            answer = await caller.execute(text)
-        if not answer or not answer[-1].startswith("READY"):
+    async def send_statement(self, caller: LineCaller, text: str) -> list[str]:
+        """Send a statement and return the lines of the reply.
+
+        Returns:
+            The lines; empty if the reply to a write or commit was incomplete.
+
+        Raises:
+            TimeoutError: If the reply takes longer than `REPLY_TIMEOUT_S`.
+            ConnectionResetError: If another reply was incomplete.
+        """
+        async with asyncio.timeout(REPLY_TIMEOUT_S):
+            reply = await caller.execute(text)
+        if not reply or not reply[-1].startswith("READY"):
             if text.startswith(("WRITE", "COMMIT")):
                 return []
-            raise ConnectionResetError("the answer broke off")
-        return answer
+            raise ConnectionResetError("connection closed before the end of the reply")
+        return reply
--- a/ebonyrack/load/soak_daemon.py
+++ b/ebonyrack/load/soak_daemon.py
@@ -1,4 +1,4 @@
-"""A proxy as a process of its own, stopped, paused, killed and restarted by signals."""
+"""A proxy that runs as a separate process and is controlled by signals."""
 
 from __future__ import annotations
 
@@ -25,19 +25,19 @@
 
 
 class SoakDaemon(Component):
-    """One proxy process; it is started again whenever it ends.
+    """One proxy process, which is restarted whenever it exits.
 
     Attributes:
-        name: Its name.
-        folder: Where its settings and its log are written.
-        store: The platform's service.
-        address: Where callers connect.
-        process: The process that runs now, or None.
-        starts: How often it was started.
-        task: Keeps it running.
+        name: Name of the proxy.
+        folder: Directory of its settings and its log.
+        store: Address of the platform's service.
+        address: Address at which callers connect.
+        process: The current process, or None before the first start.
+        start_count: Number of times that the process was started.
+        task: Task that restarts the process.
     """
 
-    __slots__ = ("name", "folder", "store", "address", "process", "starts", "task")
+    __slots__ = ("name", "folder", "store", "address", "process", "start_count", "task")
 
     def __init__(self, name: str, folder: Path, store: Address) -> None:
         self.name = name
@@ -45,11 +45,11 @@
         self.store = store
         self.address = find_free_address()
         self.process: asyncio.subprocess.Process | None = None
-        self.starts = 0
+        self.start_count = 0
         self.task: asyncio.Task[None] | None = None
 
     async def start(self) -> None:
-        """Write the settings and start the process."""
+        """Write the settings and start the task that runs the process."""
         text = SETTINGS.format(
             name=self.name,
             front=self.address,
@@ -57,19 +57,19 @@
             store=self.store,
         )
         (self.folder / f"{self.name}.conf").write_text(text)
-        self.task = asyncio.create_task(self.keep_running())
+        self.task = asyncio.create_task(self.run_and_restart())
 
     async def stop(self) -> None:
-        """End the process."""
+        """Kill the process and stop restarting it."""
         await end_tasks([self.task])
         if self.process is not None and self.process.returncode is None:
             self.process.kill()
             await self.process.wait()
 
-    async def keep_running(self) -> None:
-        """Start the process again whenever it ends, until cancelled."""
+    async def run_and_restart(self) -> None:
+        """Run the process and restart it whenever it exits, until cancelled."""
         while True:
-            self.starts += 1
+            self.start_count += 1
             with (self.folder / f"{self.name}.log").open("ab") as log:
                 self.process = await asyncio.create_subprocess_exec(
                     sys.executable,
@@ -83,7 +83,7 @@
             await self.process.wait()
             await asyncio.sleep(RESTART_PAUSE_S)
 
-    def send(self, number: signal.Signals) -> None:
-        """Send a signal to the process that this soak started, if it runs."""
+    def send_signal(self, signal_number: signal.Signals) -> None:
+        """Send a signal to the process if it is running."""
         if self.process is not None and self.process.returncode is None:
-            self.process.send_signal(number)
+            self.process.send_signal(signal_number)
--- a/ebonyrack/load/soak_system.py
+++ b/ebonyrack/load/soak_system.py
@@ -1,4 +1,4 @@
-"""Stand-ins of the platform and proxy processes for a soak."""
+"""Stand-ins of the platform and the proxy processes of a soak."""
 
 from __future__ import annotations
 
@@ -11,19 +11,19 @@
 from ebonyrack.standins.line_system import LineSystem
 from ebonyrack.standins.line_upstream import LineUpstream
 
-# How late replicas show what they receive when nothing is wrong, in seconds.
+# Time after which replicas apply what they receive, without an injected lag.
 APPLY_DELAY_S = 0.02
 
 
 @dataclass(frozen=True, slots=True)
 class SoakOptions:
-    """What a soak does.
+    """Seed and size of a soak.
 
     Attributes:
-        seed: Seed of every random choice.
-        duration_s: Seconds of faults.
-        proxies: Proxy processes.
-        callers: Callers.
+        seed: Seed of all random choices.
+        duration_s: Time during which faults are injected, in seconds.
+        proxies: Number of proxy processes.
+        callers: Number of callers.
     """
 
     seed: int
@@ -33,13 +33,14 @@
 
 
 class SoakSystem(LineSystem):
-    """Stand-ins of the platform, with a loopback proxy before each upstream.
+    """Stand-ins of the platform, with a fault link in front of each upstream.
 
     Attributes:
-        options: What the soak does.
-        links: Loopback proxy by upstream.
+        options: Seed and size of the soak.
+        folder: Directory of the proxies' settings and logs.
+        links: Fault links by member ID of the upstream.
         daemons: The proxy processes.
-        draws: Random numbers of the faults.
+        random: Random number generator of the faults.
         version: Version of the newest configuration.
     """
 
@@ -52,11 +53,11 @@
             for member_id, upstream in self.upstreams.items()
         }
         self.daemons: list[SoakDaemon] = []
-        self.draws = random.Random(options.seed)
+        self.random = random.Random(options.seed)
         self.version = 1
 
     async def start(self) -> None:
-        """Start the stand-ins, the loopback proxies and the processes."""
+        """Start the stand-ins, the fault links and the proxy processes."""
         for member in self.group.members.values():
             member.apply_delay_s = APPLY_DELAY_S
         for link in self.links.values():
@@ -67,14 +68,14 @@
             self.daemons.append(await self.stack.enter_async_context(daemon))
 
     async def publish_entry(self, upstream: LineUpstream, **changes: object) -> None:
-        """Write an upstream's entry, with the address of its loopback proxy."""
+        """Write an upstream's entry, with the address of its fault link."""
         link = self.links[upstream.member.member_id]
         await super().publish_entry(upstream, address=str(link.address), **changes)
 
-    def draw_link(self) -> FaultLink:
-        """Return any loopback proxy."""
-        return self.draws.choice(list(self.links.values()))
+    def choose_link(self) -> FaultLink:
+        """Choose a random fault link."""
+        return self.random.choice(list(self.links.values()))
 
-    def draw_daemon(self) -> SoakDaemon:
-        """Return any proxy process."""
-        return self.draws.choice(self.daemons)
+    def choose_daemon(self) -> SoakDaemon:
+        """Choose a random proxy process."""
+        return self.random.choice(self.daemons)
--- a/ebonyrack/load/workload_options.py
+++ b/ebonyrack/load/workload_options.py
@@ -1,4 +1,4 @@
-"""How the callers of a workload behave."""
+"""Options of the callers of a workload."""
 
 from __future__ import annotations
 
@@ -9,24 +9,24 @@
 
 @dataclass(frozen=True, slots=True)
 class WorkloadOptions:
-    """How callers behave.
+    """Behaviour of the callers of a workload.
 
     Attributes:
-        proxies: Proxies that callers roam between.
-        user: User.
+        proxies: Addresses of the proxies that callers switch between.
+        user: User name.
         password: Password.
         database: Name of the database group.
         write_share: Share of operations that reserve a slot.
         visitor_share: Share of callers that never write and read a list instead.
-        visitor_age: Age that visitors accept, such as `2s`; empty for none.
-        token_share: Share of callers that hand a token from proxy to proxy.
-        sample_share: Share of reads after which the serving upstream is asked for.
+        visitor_age: Maximum staleness of visitors' reads, such as `2s`; empty for none.
+        token_share: Share of callers that pass a session token from proxy to proxy.
+        sample_share: Share of reads after which the serving upstream is queried.
         think_s: Mean pause between two operations, in seconds.
-        attempt_timeout_s: Longest wait for an answer, in seconds.
+        attempt_timeout_s: Time limit of an attempt, in seconds.
         use_keys: Whether reservations carry an idempotency key.
-        fixed_retry_s: Pause before each repeat, whatever a refusal says, in seconds;
-            None to obey refusals.
-        run_id: Start of every request key of the run.
+        fixed_retry_s: Pause before each retry, in seconds; None for the retry-after
+            time of the failure.
+        run_id: Prefix of all request keys of the run.
     """
 
     proxies: tuple[Address, ...]
