--- a/ebonyrack/scripts/arguments.py
+++ b/ebonyrack/scripts/arguments.py
@@ -1,4 +1,4 @@
-"""Readers of values on the command lines."""
+"""Argument types for argparse."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 def parse_address_argument(text: str) -> Address:
-    """Read an address for argparse."""
+    """Parse an address for argparse."""
     try:
         return parse_address(text)
     except ValueError as error:
@@ -17,7 +17,7 @@
 
 
 def parse_peer_argument(text: str) -> tuple[str, Address]:
-    """Read `name=IP:port` for argparse."""
+    """Parse `name=IP:port` for argparse."""
     name, equals, address = text.partition("=")
     if not (name and equals):
         raise argparse.ArgumentTypeError(f"expected name=IP:port, found {text!r}")
@@ -25,7 +25,7 @@
 
 
 def parse_non_negative(text: str) -> float:
-    """Read a number of at least 0 for argparse."""
+    """Parse a number of at least 0 for argparse."""
     try:
         value = float(text)
     except ValueError:
--- a/ebonyrack/scripts/ctl.py
+++ b/ebonyrack/scripts/ctl.py
@@ -39,11 +39,11 @@
 DEFAULT_TIMEOUT_S = 5.0
 DEFAULT_EDIT_LIMIT_S = 10.0
 DEFAULT_WAIT_S = 10.0
-DEFAULT_HISTORY = 20
-# Beliefs that decided on a request are a few seconds old at most; a change of primary
-# that it ran into ends within two.
-STORY_BEFORE_S = 5.0
-STORY_AFTER_S = 2.0
+DEFAULT_HISTORY_EDITS = 20
+# State that a request depended on is at most a few seconds old; a change of primary
+# during the request ends within two seconds.
+TIMELINE_BEFORE_S = 5.0
+TIMELINE_AFTER_S = 2.0
 
 Commands = argparse._SubParsersAction  # type: ignore[type-arg]
 
@@ -52,22 +52,22 @@
     """Build the parser of the command line."""
     parser = argparse.ArgumentParser(
         prog="ebonyrackctl",
-        description="Show and steer the proxies and the operators' document.",
+        description="Inspect and control the proxies and the operators' document.",
         epilog=EXIT_STATUS_HELP,
         formatter_class=argparse.RawDescriptionHelpFormatter,
     )
     parser.add_argument("--version", action="version", version=__version__)
     add_access_options(parser)
     commands = parser.add_subparsers(dest="command", required=True)
-    commands.add_parser("status", help="proxies and groups as one proxy sees them")
+    commands.add_parser("status", help="proxies and groups as seen by one proxy")
     groups = commands.add_parser("groups", help="upstreams of the database groups")
     groups.add_argument("group", nargs="?", default="")
-    commands.add_parser("sessions", help="callers' sessions of one proxy")
+    commands.add_parser("sessions", help="callers' sessions at one proxy")
     drain = commands.add_parser("drain", help="shut a proxy down gracefully")
     drain.add_argument("target", metavar="PROXY", help="name or peer address")
-    switchover = commands.add_parser("switchover", help="move a group's primary")
+    switchover = commands.add_parser("switchover", help="change a group's primary")
     switchover.add_argument("group")
-    switchover.add_argument("--to", default="", help="upstream to be primary")
+    switchover.add_argument("--to", default="", help="upstream to promote")
     check = commands.add_parser("check", help="check a document file")
     check.add_argument("file", type=Path)
     add_story_command(commands)
@@ -76,16 +76,16 @@
 
 
 def add_story_command(commands: Commands) -> None:
-    """Add the command that reads logs."""
-    story = commands.add_parser("story", help="what logs tell of one request")
+    """Add the command that shows the timeline of a request from logs."""
+    story = commands.add_parser("story", help="timeline of one request from logs")
     story.add_argument("request", help="id of the request")
     story.add_argument("log", nargs="+", type=Path, help="logs of proxies")
-    story.add_argument("--before", type=float, default=STORY_BEFORE_S, metavar="S")
-    story.add_argument("--after", type=float, default=STORY_AFTER_S, metavar="S")
+    story.add_argument("--before", type=float, default=TIMELINE_BEFORE_S, metavar="S")
+    story.add_argument("--after", type=float, default=TIMELINE_AFTER_S, metavar="S")
 
 
 def add_access_options(parser: argparse.ArgumentParser) -> None:
-    """Add the options that say how the system is reached."""
+    """Add the options for access to the proxies and the store."""
     environment = os.environ
     parser.add_argument(
         "--proxy",
@@ -98,12 +98,12 @@
         "--secret-file",
         type=Path,
         default=environment.get(SECRET_VARIABLE),
-        help=f"file with the secret that all proxies share (or {SECRET_VARIABLE})",
+        help=f"file with the secret shared by all proxies (or {SECRET_VARIABLE})",
     )
     parser.add_argument(
         "--operator",
         default=environment.get(OPERATOR_VARIABLE) or getpass.getuser(),
-        help=f"name of the operator (or {OPERATOR_VARIABLE}; else the login name)",
+        help=f"name of the operator (or {OPERATOR_VARIABLE}; default: the login name)",
     )
     parser.add_argument(
         "--password-file",
@@ -123,54 +123,58 @@
 
 
 def add_config_commands(commands: Commands) -> None:
-    """Add the commands on the document."""
+    """Add the commands for the operators' document."""
     config = commands.add_parser("config", help="the operators' document")
     actions = config.add_subparsers(dest="action", required=True)
-    get = actions.add_parser("get", help="print the document, or write it to a file")
+    get = actions.add_parser("get", help="print the document or write it to a file")
     get.add_argument("--section", default="", metavar="TITLE")
     get.add_argument("file", nargs="?", type=Path)
-    edit = actions.add_parser("edit", help="change it in $EDITOR")
+    edit = actions.add_parser("edit", help="change the document in $EDITOR")
     edit.add_argument("--section", default="", metavar="TITLE")
     add_apply_options(edit)
-    apply = actions.add_parser("apply", help="accept a changed file")
+    apply = actions.add_parser("apply", help="apply a changed file")
     apply.add_argument("file", type=Path)
     add_apply_options(apply)
-    difference = actions.add_parser("diff", help="compare a file with what is in force")
+    difference = actions.add_parser(
+        "diff", help="compare a file with the document in force"
+    )
     difference.add_argument("file", type=Path)
-    history = actions.add_parser("history", help="the last edits")
-    history.add_argument("--limit", type=int, default=DEFAULT_HISTORY)
-    actions.add_parser("status", help="which proxy runs which revision")
+    history = actions.add_parser("history", help="latest edits")
+    history.add_argument("--limit", type=int, default=DEFAULT_HISTORY_EDITS)
+    actions.add_parser("status", help="revision that each proxy runs")
 
 
 def add_apply_options(parser: argparse.ArgumentParser) -> None:
     """Add the options of an edit."""
-    parser.add_argument("--edit-id", default="", help="repeat an edit that is unknown")
+    parser.add_argument(
+        "--edit-id", default="", help="repeat an edit of unknown outcome"
+    )
     parser.add_argument(
         "--limit", type=float, default=DEFAULT_EDIT_LIMIT_S, metavar="S"
     )
     parser.add_argument(
         "--wait",
         action="store_true",
-        help="wait until all proxies run it, and list them",
+        help="wait until all proxies run the revision, and list them",
     )
     parser.add_argument("--wait-s", type=float, default=DEFAULT_WAIT_S, metavar="S")
 
 
 def build_access(options: argparse.Namespace) -> ProxyAccess:
-    """Build the way to the proxies from the options and the environment.
+    """Build the access to the proxies from the options and the environment.
 
     Raises:
-        CommandError: If something is missing.
+        CommandError: If no proxy or no secret file is given.
     """
     proxies = options.proxy
     if not proxies:
-        words = os.environ.get(PROXIES_VARIABLE, "").replace(",", " ").split()
-        proxies = [parse_address(word) for word in words]
+        addresses = os.environ.get(PROXIES_VARIABLE, "").replace(",", " ").split()
+        proxies = [parse_address(address) for address in addresses]
     if not proxies:
-        text = f"name a proxy by --proxy or {PROXIES_VARIABLE}"
+        text = f"no proxy given: use --proxy or {PROXIES_VARIABLE}"
         raise CommandError(ExitStatus.USAGE, text)
     if options.secret_file is None:
-        text = f"name the secret's file by --secret-file or {SECRET_VARIABLE}"
+        text = f"no secret file given: use --secret-file or {SECRET_VARIABLE}"
         raise CommandError(ExitStatus.USAGE, text)
     password_file = options.password_file
     return ProxyAccess(
@@ -183,21 +187,21 @@
 
 
 async def run_command(options: argparse.Namespace) -> ExitStatus:
-    """Run the chosen command; return the exit status."""
+    """Run the chosen command; return the exit status of the process."""
     output = Output(options.json)
     return output.choose_status(await dispatch_command(options, output))
 
 
 async def dispatch_command(options: argparse.Namespace, output: Output) -> ExitStatus:
-    """Run the chosen command; return what came of it."""
+    """Run the chosen command; return its own status."""
     match options.command:
         case "check":
             return configuration.check_file(options.file, output)
         case "story":
-            question = TimelineQuery(
+            query = TimelineQuery(
                 options.request, tuple(options.log), options.before, options.after
             )
-            return show_timeline(question, output)
+            return show_timeline(query, output)
         case "config" if options.store is not None:
             settings = StoreSettings.model_validate(
                 {"address": options.store, "prefix": options.prefix}
@@ -228,27 +232,31 @@
 async def run_config(
     access: DocumentAccess, options: argparse.Namespace, output: Output
 ) -> ExitStatus:
-    """Run a command on the document."""
+    """Run a command for the operators' document."""
     match options.action:
         case "get":
             return await configuration.get_document(
                 access, options.section, options.file, output
             )
         case "edit":
-            chosen = build_apply_options(options)
+            apply_options = build_apply_options(options)
             return await configuration.edit_document(
-                access, options.section, chosen, output
+                access, options.section, apply_options, output
             )
         case "apply":
-            chosen = build_apply_options(options)
-            return await configuration.apply_file(access, options.file, chosen, output)
+            apply_options = build_apply_options(options)
+            return await configuration.apply_file(
+                access, options.file, apply_options, output
+            )
         case "diff":
             return await configuration.show_difference(access, options.file, output)
         case "history":
             return await configuration.show_history(access, options.limit, output)
         case _:
             if not isinstance(access, ProxyDocument):
-                raise CommandError(ExitStatus.USAGE, "config status needs a proxy")
+                raise CommandError(
+                    ExitStatus.USAGE, "config status needs a proxy: omit --store"
+                )
             return await configuration.show_revisions(access, output)
 
 
--- a/ebonyrack/scripts/daemon.py
+++ b/ebonyrack/scripts/daemon.py
@@ -18,16 +18,17 @@
 from ebonyrack.service.proxy import Proxy
 
 EXIT_OK = 0
-EXIT_CUT = 1
-EXIT_BAD_SETTINGS = 2
+EXIT_REQUESTS_CUT = 1
+EXIT_INVALID_SETTINGS = 2
 
 EPILOG = """\
 signals:
-  SIGTERM, SIGINT  graceful shutdown: finish what runs, take nothing new; a second
-                   one, or drain_limit_s, ends it and logs what was cut
-  SIGHUP           read the log settings of the file again; the rest needs a restart
+  SIGTERM, SIGINT  graceful shutdown: finish running requests, accept no new ones;
+                   a second signal, or drain_limit_s, cuts the remaining requests
+                   and logs them
+  SIGHUP           reload the log settings of the file; the rest needs a restart
 
-exit status: 0 nothing was cut, 1 requests were cut, 2 the settings have faults
+exit status: 0 no request was cut, 1 requests were cut, 2 the settings are invalid
 """
 
 
@@ -43,31 +44,31 @@
         "--config", required=True, type=Path, help="INI file with the settings"
     )
     parser.add_argument(
-        "--check", action="store_true", help="check the settings and leave"
+        "--check", action="store_true", help="check the settings and exit"
     )
     parser.add_argument("--version", action="version", version=__version__)
     return parser
 
 
 def load_settings(path: Path) -> Settings | None:
-    """Read the settings and print every fault to standard error.
+    """Read the settings and print every error in them to standard error.
 
     Args:
         path: The INI file.
 
     Returns:
-        The settings, or None if there are faults.
+        The settings, or None if they are invalid.
     """
     text = read_settings_text(path)
     if text is None:
         return None
-    settings, faults = parse_settings(text, str(path))
-    print_config_errors(faults)
+    settings, errors = parse_settings(text, str(path))
+    print_config_errors(errors)
     return settings
 
 
 def reload_logging(path: Path) -> None:
-    """Put the log settings of the file in force.
+    """Apply the log settings of the file.
 
     Args:
         path: The INI file.
@@ -78,19 +79,19 @@
 
 
 async def run_proxy(settings: Settings, path: Path) -> int:
-    """Run a proxy until it is told to stop.
+    """Run a proxy until it is shut down.
 
     Args:
         settings: Checked settings.
-        path: File of the settings, read again on SIGHUP.
+        path: File of the settings, reloaded on SIGHUP.
 
     Returns:
         The number of requests that the shutdown cut.
     """
     proxy = Proxy(settings)
     loop = asyncio.get_running_loop()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, proxy.drain.request, number.name)
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signal_number, proxy.drain.request, signal_number.name)
     loop.add_signal_handler(signal.SIGHUP, reload_logging, path)
     async with proxy:
         return await proxy.serve()
@@ -108,14 +109,14 @@
     options = build_parser().parse_args(arguments)
     settings = load_settings(options.config)
     if settings is None:
-        return EXIT_BAD_SETTINGS
+        return EXIT_INVALID_SETTINGS
     if options.check:
-        print(f"{options.config}: no faults")
+        print(f"{options.config}: no errors")
         return EXIT_OK
     logs.start_logging(settings.log, settings.proxy.name)
     metrics.start_metrics(settings.proxy.metrics_address)
     cut_requests = asyncio.run(run_proxy(settings, options.config))
-    return EXIT_CUT if cut_requests else EXIT_OK
+    return EXIT_REQUESTS_CUT if cut_requests else EXIT_OK
 
 
 if __name__ == "__main__":
--- a/ebonyrack/scripts/load.py
+++ b/ebonyrack/scripts/load.py
@@ -39,15 +39,15 @@
 from ebonyrack.scripts.load_arguments import build_parser
 
 EXIT_OK = 0
-EXIT_WRONG = 1
-EXIT_USAGE = 2
+EXIT_VIOLATION = 1
+EXIT_ERROR = 2
 
 
 async def run_host_command(arguments: argparse.Namespace) -> int:
-    """Host control planes until the process is told to stop."""
+    """Host control planes until the process receives SIGTERM."""
     logger.remove()
-    stopped = asyncio.Event()
-    asyncio.get_running_loop().add_signal_handler(signal.SIGTERM, stopped.set)
+    stop_requested = asyncio.Event()
+    asyncio.get_running_loop().add_signal_handler(signal.SIGTERM, stop_requested.set)
     options = HostOptions(
         store=arguments.store,
         listen_ip=arguments.network,
@@ -55,12 +55,12 @@
         count=arguments.count,
         data_centres=arguments.data_centres,
     )
-    await run_host(options, stopped.is_set)
+    await run_host(options, stop_requested.is_set)
     return EXIT_OK
 
 
 async def run_control_plane_command(arguments: argparse.Namespace) -> int:
-    """Measure hosted control planes, print the row and keep it."""
+    """Measure hosted control planes, then print and store the row."""
     measurement = Measurement(
         store=arguments.store,
         listen_ip=arguments.network,
@@ -91,7 +91,7 @@
 
 
 async def run_bench_command(arguments: argparse.Namespace) -> int:
-    """Run the bench, print its table and keep its figures."""
+    """Run the benchmark, then print and store its results."""
     options = BenchOptions(
         proxy=arguments.proxy,
         upstream=arguments.upstream,
@@ -100,15 +100,15 @@
         duration_s=arguments.duration_s,
         idle_callers=arguments.idle_callers,
     )
-    figures = await run_bench(options)
-    path = write_results(arguments.results, "bench", [figures])
-    print(format_table(figures))
+    results = await run_bench(options)
+    path = write_results(arguments.results, "bench", [results])
+    print(format_table(results))
     print(path)
     return EXIT_OK
 
 
 async def run_idle_cost_command(arguments: argparse.Namespace) -> int:
-    """Measure idle proxies, print a table and keep its rows."""
+    """Measure idle proxies, then print and store the rows."""
     options = IdleOptions(
         pids=tuple(arguments.pids),
         groups=arguments.groups,
@@ -122,7 +122,7 @@
 
 
 async def run_experiment_command(arguments: argparse.Namespace) -> int:
-    """Run an experiment, print its table and keep its rows."""
+    """Run an experiment, then print its summary and store its trials."""
     text = arguments.document.read_text(encoding="utf-8")
     async with Cluster(arguments.control, arguments.store, text) as cluster:
         context = ExperimentContext(
@@ -149,7 +149,7 @@
 
 
 async def run_booking_command(arguments: argparse.Namespace) -> int:
-    """Run the booking workload and print its table and its JSON line."""
+    """Run the booking workload and print its summary as a table and as JSON."""
     options = WorkloadOptions(
         proxies=tuple(arguments.proxies),
         user=arguments.user,
@@ -171,11 +171,11 @@
         print(example, file=sys.stderr)
     print(format_table(summary))
     print(json.dumps(summary))
-    return EXIT_OK if result.is_correct else EXIT_WRONG
+    return EXIT_OK if result.is_correct else EXIT_VIOLATION
 
 
 async def run_document_command(arguments: argparse.Namespace) -> int:
-    """Put the first document into the store."""
+    """Put the first operators' document into the store."""
     text = arguments.file.read_text(encoding="utf-8")
     await put_document(arguments.store, arguments.prefix, text)
     print(f"{arguments.file}: accepted as revision 1")
@@ -183,7 +183,7 @@
 
 
 async def run_soak_command(arguments: argparse.Namespace) -> int:
-    """Run soaks, print a line for each; any broken promise is an error."""
+    """Run soak tests and print a row for each; a violated guarantee is an error."""
     logger.remove()
     status = EXIT_OK
     for seed in range(arguments.seed, arguments.seed + arguments.seeds):
@@ -193,7 +193,7 @@
         row = await run_soak(options)
         print(json.dumps(row), flush=True)
         if row["faults"]:
-            status = EXIT_WRONG
+            status = EXIT_VIOLATION
     return status
 
 
@@ -217,14 +217,14 @@
         argv: Arguments without the program's name; those of the process if None.
 
     Returns:
-        0 when all went right, 1 when a guarantee was broken, 2 for bad usage.
+        0 on success, 1 if a guarantee was violated, 2 for a usage or system error.
     """
     arguments = build_parser().parse_args(argv)
     try:
         return asyncio.run(COMMANDS[arguments.command](arguments))
     except (OSError, NoPrimaryError, BootstrapError, ClusterError) as error:
         print(f"ebonyrack-load: {error}", file=sys.stderr)
-        return EXIT_USAGE
+        return EXIT_ERROR
 
 
 if __name__ == "__main__":
--- a/ebonyrack/scripts/load_arguments.py
+++ b/ebonyrack/scripts/load_arguments.py
@@ -6,12 +6,12 @@
 from pathlib import Path
 from typing import TypeAlias
 
-from ebonyrack.load import experiments  # noqa: F401 (fills the registry)
+from ebonyrack.load import experiments  # noqa: F401 (registers the experiments)
 from ebonyrack.load.context import EXPERIMENTS
 from ebonyrack.scripts.arguments import parse_address_argument
 from ebonyrack.scripts.arguments import parse_non_negative
 
-DESCRIPTION = "Loads proxies, runs experiments around them and reports the results."
+DESCRIPTION = "Loads proxies, runs experiments on them and reports the results."
 
 Commands: TypeAlias = "argparse._SubParsersAction[argparse.ArgumentParser]"
 
@@ -34,11 +34,11 @@
 def add_soak(commands: Commands) -> None:
     """Add the command that runs proxies under random faults."""
     soak = commands.add_parser(
-        "soak", help="run proxies as processes under random faults, check promises"
+        "soak", help="run proxy processes under random faults and check guarantees"
     )
     soak.add_argument("--seed", type=int, default=1, help="first seed")
     soak.add_argument(
-        "--seeds", type=int, default=1, help="how many, one after another"
+        "--seeds", type=int, default=1, help="number of consecutive seeds"
     )
     soak.add_argument("--seconds", type=parse_non_negative, default=10.0)
     soak.add_argument("--processes", type=int, default=3, help="proxy processes")
@@ -55,7 +55,7 @@
     booking.add_argument("--write-share", type=parse_non_negative, default=0.1)
     booking.add_argument("--think-s", type=parse_non_negative, default=0.0)
     booking.add_argument(
-        "--mark", type=Path, help="file with the wall time of an injected fault"
+        "--mark", type=Path, help="file with the wall-clock time of an injected fault"
     )
 
 
@@ -70,8 +70,10 @@
 
 
 def add_bench(commands: Commands) -> None:
-    """Add the command that compares a proxy with the direct connection."""
-    bench = commands.add_parser("bench", help="compare with the direct connection")
+    """Add the command that compares a proxy with a direct connection."""
+    bench = commands.add_parser(
+        "bench", help="compare a proxy with a direct connection"
+    )
     bench.add_argument("--proxy", required=True, type=parse_address_argument)
     bench.add_argument("--upstream", required=True, type=parse_address_argument)
     bench.add_argument("--proxy-pid", required=True, type=int)
@@ -82,8 +84,10 @@
 
 
 def add_idle_cost(commands: Commands) -> None:
-    """Add the command that measures proxies without requests."""
-    idle = commands.add_parser("idle-cost", help="processor time and memory at rest")
+    """Add the command that measures idle proxies."""
+    idle = commands.add_parser(
+        "idle-cost", help="processor time and memory of idle proxies"
+    )
     idle.add_argument("--pids", nargs="+", required=True, type=int)
     idle.add_argument("--groups", required=True, type=int)
     idle.add_argument("--duration-s", type=parse_non_negative, default=15.0)
@@ -91,7 +95,7 @@
 
 
 def add_experiment(commands: Commands) -> None:
-    """Add the command that runs an experiment around a running cluster."""
+    """Add the command that runs an experiment on a running cluster."""
     experiment = commands.add_parser("experiment", help="run one experiment")
     experiment.add_argument("name", choices=sorted(EXPERIMENTS.entries))
     add_targets(experiment)
@@ -114,11 +118,11 @@
 
 def add_control_plane(commands: Commands) -> None:
     """Add the commands that host control planes and that measure them."""
-    host = commands.add_parser("control-host", help="proxies without callers")
+    host = commands.add_parser("control-host", help="host control planes of proxies")
     host.add_argument("--first", type=int, required=True)
     host.add_argument("--count", type=int, default=1)
     host.add_argument("--data-centres", type=int, default=4)
-    measure = commands.add_parser("control-plane", help="measure such proxies")
+    measure = commands.add_parser("control-plane", help="measure hosted control planes")
     measure.add_argument("--nodes", type=int, required=True)
     measure.add_argument("--groups", type=int, default=3)
     measure.add_argument("--edits", type=int, default=100)
@@ -141,7 +145,7 @@
 
 
 def add_targets(parser: argparse.ArgumentParser) -> None:
-    """Add the options that say whom a workload reaches, and as whom."""
+    """Add the options for the targets and the user of a workload."""
     for name in ("proxies", "upstreams"):
         parser.add_argument(
             f"--{name}",
@@ -155,5 +159,5 @@
 
 
 def add_results(parser: argparse.ArgumentParser) -> None:
-    """Add the option that says where result files are."""
+    """Add the option for the folder of result files."""
     parser.add_argument("--results", type=Path, default=Path("results"))
--- a/ebonyrack/scripts/route_daemon.py
+++ b/ebonyrack/scripts/route_daemon.py
@@ -27,21 +27,21 @@
 from ebonyrack.scripts.settings_text import read_settings_text
 
 EXIT_OK = 0
-EXIT_BAD_SETTINGS = 2
-# Lines on requests that were served are samples; those that failed are all written.
-DEFAULT_SAMPLING = 0.02
-# Metrics start after the first callers are served: loading their libraries takes a
-# third as long as the whole start.
+EXIT_INVALID_SETTINGS = 2
+# Successful requests are logged as a sample; failed requests are all logged.
+DEFAULT_DECISION_SAMPLING = 0.02
+# Metrics start after the first callers are served, as loading their libraries takes
+# a third as long as the whole startup.
 METRICS_DELAY_S = 2.0
 
 
 @dataclass(frozen=True, slots=True)
-class LogChoice:
-    """What is logged.
+class LogArguments:
+    """Logging options of the command line.
 
     Attributes:
-        level: Lowest level that is written.
-        decision_sampling: Share of the decisions on requests that is written.
+        level: Lowest level that is logged.
+        decision_sampling: Share of the decisions on requests that is logged, 0 to 1.
     """
 
     level: str
@@ -53,55 +53,58 @@
     parser = argparse.ArgumentParser(
         prog="ebonyrack-routed",
         description="Run one proxy between callers of routes and database groups.",
-        epilog="signals: SIGTERM ends it gracefully, SIGHUP reads the settings again",
+        epilog="signals: SIGTERM shuts down gracefully, SIGHUP rechecks the settings",
     )
     parser.add_argument(
         "--settings",
         type=Path,
         default=os.environ.get(PATH_VARIABLE),
-        help=f"file with the settings; the default is what {PATH_VARIABLE} names",
+        help=f"file with the settings (default: the path in {PATH_VARIABLE})",
     )
     parser.add_argument("--log-level", choices=["debug", "info", "warning", "error"])
     parser.add_argument(
         "--log-sampling",
         type=float,
-        default=DEFAULT_SAMPLING,
+        default=DEFAULT_DECISION_SAMPLING,
         help="share of the decisions on requests that is logged, 0 to 1",
     )
     parser.add_argument(
         "--metrics", type=parse_address, help="IP:port where metrics are served"
     )
     parser.add_argument(
-        "--check", action="store_true", help="check the settings and leave"
+        "--check", action="store_true", help="check the settings and exit"
     )
     parser.add_argument("--version", action="version", version=__version__)
     return parser
 
 
 def load_settings(path: Path | None) -> RouteProxySettings | None:
-    """Read the settings and print every fault to standard error.
+    """Read the settings and print every error in them to standard error.
 
     Args:
-        path: The file, or None if none was named.
+        path: The file, or None if none was given.
 
     Returns:
-        The settings, or None if there are faults.
+        The settings, or None if they are invalid.
     """
     if path is None:
-        print(f"name the settings by --settings or {PATH_VARIABLE}", file=sys.stderr)
+        print(
+            f"no settings file given: use --settings or {PATH_VARIABLE}",
+            file=sys.stderr,
+        )
         return None
     text = read_settings_text(Path(path))
     if text is None:
         return None
-    found = parse_settings(text, str(path))
-    if isinstance(found, Err):
-        print_config_errors(found.err_value)
+    parsed = parse_settings(text, str(path))
+    if isinstance(parsed, Err):
+        print_config_errors(parsed.err_value)
         return None
-    return found.ok_value
+    return parsed.ok_value
 
 
-def reload_settings(path: Path | None, running: RouteProxySettings) -> None:
-    """Read the settings again and say whether they differ from those that run."""
+def recheck_settings(path: Path | None, running: RouteProxySettings) -> None:
+    """Read the settings again and log whether they differ from the running ones."""
     settings = load_settings(path)
     if settings is None:
         logger.error("settings_rejected")
@@ -112,13 +115,13 @@
 async def run_proxy(
     settings: RouteProxySettings, path: Path | None, metrics_address: Address | None
 ) -> None:
-    """Run a proxy until it is told to stop."""
+    """Run a proxy until it is shut down."""
     platform_proxy = PlatformProxy(settings)
     drain = platform_proxy.proxy.services.drain
     loop = asyncio.get_running_loop()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, drain.request, number.name)
-    loop.add_signal_handler(signal.SIGHUP, reload_settings, path, settings)
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signal_number, drain.request, signal_number.name)
+    loop.add_signal_handler(signal.SIGHUP, recheck_settings, path, settings)
     metrics_task = asyncio.create_task(start_metrics_later(metrics_address))
     async with platform_proxy:
         await platform_proxy.proxy.serve()
@@ -126,7 +129,7 @@
 
 
 async def start_metrics_later(address: Address | None) -> None:
-    """Serve metrics once the start is over."""
+    """Start serving metrics after the startup."""
     await asyncio.sleep(METRICS_DELAY_S)
     await asyncio.to_thread(metrics.start_metrics, address)
 
@@ -143,12 +146,12 @@
     options = build_parser().parse_args(arguments)
     settings = load_settings(options.settings)
     if settings is None:
-        return EXIT_BAD_SETTINGS
+        return EXIT_INVALID_SETTINGS
     if options.check:
-        print(f"{options.settings}: no faults")
+        print(f"{options.settings}: no errors")
         return EXIT_OK
-    choice = LogChoice(options.log_level or "info", options.log_sampling)
-    logs.start_logging(choice, settings.name)
+    log_arguments = LogArguments(options.log_level or "info", options.log_sampling)
+    logs.start_logging(log_arguments, settings.name)
     asyncio.run(run_proxy(settings, options.settings, options.metrics))
     return EXIT_OK
 
--- a/ebonyrack/scripts/settings_text.py
+++ b/ebonyrack/scripts/settings_text.py
@@ -1,4 +1,4 @@
-"""Reads the file with a daemon's settings."""
+"""Reads a daemon's settings file and prints the errors in it."""
 
 from __future__ import annotations
 
@@ -10,7 +10,9 @@
 
 
 def read_settings_text(path: Path) -> str | None:
-    """Return the text of a file; print to standard error why there is none.
+    """Return the text of a file, or None if it can't be read.
+
+    The reason is printed to standard error.
 
     Args:
         path: The file.
@@ -22,11 +24,11 @@
         return None
 
 
-def print_config_errors(faults: Iterable[ConfigError]) -> None:
-    """Print every fault of the settings to standard error.
+def print_config_errors(errors: Iterable[ConfigError]) -> None:
+    """Print every error in the settings to standard error.
 
     Args:
-        faults: The faults.
+        errors: The errors.
     """
-    for fault in faults:
-        print(fault, file=sys.stderr)
+    for error in errors:
+        print(error, file=sys.stderr)
--- a/ebonyrack/scripts/standin.py
+++ b/ebonyrack/scripts/standin.py
@@ -21,7 +21,7 @@
 
 USAGE_ERROR = 2
 ROLES = ("primary", "replica", "none")
-TIMES = (
+DELAY_OPTIONS = (
     "connection_cost_s",
     "statement_cost_s",
     "receive_delay_s",
@@ -35,9 +35,9 @@
     parser = argparse.ArgumentParser(prog="ebonyrack-standin", description=__doc__)
     commands = parser.add_subparsers(dest="command", required=True)
     platform = commands.add_parser("platform", help="key-value service and VM list")
-    add_listen(platform)
+    add_listen_option(platform)
     upstream = commands.add_parser("upstream", help="one upstream of a group")
-    add_listen(upstream)
+    add_listen_option(upstream)
     upstream.add_argument("--name", required=True)
     upstream.add_argument("--initial-role", choices=ROLES, default="none")
     upstream.add_argument(
@@ -48,7 +48,7 @@
         metavar="NAME=IP:PORT",
         help="the other upstreams; an initial replica follows the first of them",
     )
-    add_options(upstream)
+    add_upstream_options(upstream)
     group = commands.add_parser("group", help="a whole group in one process")
     group.add_argument(
         "--listen",
@@ -63,48 +63,48 @@
         "--control",
         type=parse_address_argument,
         metavar="IP:PORT",
-        help="address of the HTTP interface for faults",
+        help="address of the HTTP interface that injects faults",
     )
-    add_options(group)
+    add_upstream_options(group)
     return parser
 
 
-def add_listen(parser: argparse.ArgumentParser) -> None:
-    """Add the address to listen on."""
+def add_listen_option(parser: argparse.ArgumentParser) -> None:
+    """Add the option for the address to listen on."""
     parser.add_argument(
         "--listen", required=True, type=parse_address_argument, metavar="IP:PORT"
     )
 
 
-def add_options(parser: argparse.ArgumentParser) -> None:
-    """Add sizes and delays of an upstream."""
+def add_upstream_options(parser: argparse.ArgumentParser) -> None:
+    """Add the options for the limits and delays of an upstream."""
     defaults = UpstreamOptions()
     parser.add_argument(
         "--connection-limit", type=int, default=defaults.connection_limit
     )
     parser.add_argument("--slots", type=int, default=defaults.slots)
-    for name in TIMES:
+    for name in DELAY_OPTIONS:
         option = "--" + name.replace("_", "-")
         default = getattr(defaults, name)
         parser.add_argument(option, type=parse_non_negative, default=default)
 
 
-def build_options(arguments: argparse.Namespace) -> UpstreamOptions:
-    """Build the sizes and delays from the command line."""
-    times = {name: getattr(arguments, name) for name in TIMES}
-    return UpstreamOptions(arguments.connection_limit, arguments.slots, **times)
+def build_upstream_options(arguments: argparse.Namespace) -> UpstreamOptions:
+    """Build the limits and delays from the command line."""
+    delays = {name: getattr(arguments, name) for name in DELAY_OPTIONS}
+    return UpstreamOptions(arguments.connection_limit, arguments.slots, **delays)
 
 
 async def run_platform(arguments: argparse.Namespace, stack: AsyncExitStack) -> str:
-    """Start the platform and return where it listens."""
+    """Start the platform and return its address."""
     platform = await stack.enter_async_context(StandinPlatform(arguments.listen))
     return str(platform.address)
 
 
 async def run_upstream(arguments: argparse.Namespace, stack: AsyncExitStack) -> str:
-    """Start one upstream in its first role and return where it listens."""
+    """Start one upstream in its initial role and return its address."""
     upstream = StandinUpstream(
-        arguments.name, build_options(arguments), arguments.listen
+        arguments.name, build_upstream_options(arguments), arguments.listen
     )
     await stack.enter_async_context(upstream)
     upstream.peer_names = {address: name for name, address in arguments.peers}
@@ -118,35 +118,35 @@
 
 
 async def run_group(arguments: argparse.Namespace, stack: AsyncExitStack) -> str:
-    """Start a group in this process and return where its upstreams listen."""
+    """Start a group in this process and return the addresses of its upstreams."""
     group = StandinGroup(
         len(arguments.listen),
-        build_options(arguments),
+        build_upstream_options(arguments),
         tuple(arguments.listen),
         name_prefix=arguments.name_prefix,
     )
     await stack.enter_async_context(group)
-    places = [f"{spec.name}={spec.address}" for spec in group.specs()]
+    addresses = [f"{spec.name}={spec.address}" for spec in group.specs()]
     if arguments.control is not None:
         control = FaultControl(group, arguments.control)
         await stack.enter_async_context(control)
-        places.append(f"control={control.address}")
-    return " ".join(places)
+        addresses.append(f"control={control.address}")
+    return " ".join(addresses)
 
 
 COMMANDS = {"platform": run_platform, "upstream": run_upstream, "group": run_group}
 
 
 async def run(arguments: argparse.Namespace) -> None:
-    """Start what the command line asks for and wait for SIGTERM or SIGINT."""
-    stopped = asyncio.Event()
+    """Start the chosen stand-in and wait for SIGTERM or SIGINT."""
+    stop_requested = asyncio.Event()
     loop = asyncio.get_running_loop()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, stopped.set)
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signal_number, stop_requested.set)
     async with AsyncExitStack() as stack:
-        place = await COMMANDS[arguments.command](arguments, stack)
-        print(f"listening on {place}", flush=True)
-        await stopped.wait()
+        addresses = await COMMANDS[arguments.command](arguments, stack)
+        print(f"listening on {addresses}", flush=True)
+        await stop_requested.wait()
 
 
 def main(argv: Sequence[str] | None = None) -> int:
--- a/ebonyrack/scripts/standin_test.py
+++ b/ebonyrack/scripts/standin_test.py
@@ -20,8 +20,8 @@
         ),
     ],
 )
-def test_bad_arguments_are_named(arguments, reason, capsys):
-    with pytest.raises(SystemExit) as stopped:
+def test_invalid_arguments_are_reported(arguments, reason, capsys):
+    with pytest.raises(SystemExit) as exit_info:
         main(arguments)
-    assert stopped.value.code == 2
+    assert exit_info.value.code == 2
     assert reason in capsys.readouterr().err
