--- a/ebonyrack/standins/conftest.py
+++ b/ebonyrack/standins/conftest.py
@@ -1,4 +1,4 @@
-"""Connections to a stand-in group by psycopg."""
+"""Fixtures for psycopg connections to a stand-in group."""
 
 from collections.abc import AsyncIterator
 from typing import Any
@@ -37,28 +37,28 @@
 
 @pytest.fixture
 async def group() -> AsyncIterator[StandinGroup]:
-    """Return a group with the primary up-1."""
-    async with StandinGroup() as made:
-        yield made
+    """Return a group whose primary is up-1."""
+    async with StandinGroup() as standin_group:
+        yield standin_group
 
 
 @pytest.fixture
 async def connection(group: StandinGroup) -> AsyncIterator[Connection]:
     """Return a connection to the primary."""
-    async with await connect(group["up-1"]) as made:
-        yield made
+    async with await connect(group["up-1"]) as opened:
+        yield opened
 
 
 @pytest.fixture
 async def writer(group: StandinGroup) -> AsyncIterator[Connection]:
-    """Return a connection to the primary whose statements are one transaction."""
-    async with await connect(group["up-1"], autocommit=False) as made:
-        yield made
+    """Return a connection to the primary without autocommit."""
+    async with await connect(group["up-1"], autocommit=False) as opened:
+        yield opened
 
 
 @pytest.fixture
 async def writers(group: StandinGroup) -> AsyncIterator[tuple[Connection, Connection]]:
-    """Return two connections whose statements are a transaction each."""
+    """Return two connections to the primary without autocommit."""
     first = await connect(group["up-1"], autocommit=False)
     second = await connect(group["up-1"], autocommit=False)
     async with first, second:
--- a/ebonyrack/standins/control.py
+++ b/ebonyrack/standins/control.py
@@ -1,4 +1,4 @@
-"""HTTP interface by which an experiment injects faults into a group."""
+"""HTTP interface through which experiments inject faults into a group."""
 
 from __future__ import annotations
 
@@ -38,19 +38,19 @@
 
 @FAULTS.register("thaw")
 async def resume(group: StandinGroup, body: dict[str, Any]) -> None:
-    """Let a frozen upstream go on."""
+    """Resume a frozen upstream."""
     group.resume(body["name"])
 
 
 @FAULTS.register("cut")
 async def cut(group: StandinGroup, body: dict[str, Any]) -> None:
-    """Cut the link between two ends."""
+    """Cut the link between two upstreams, or an upstream and the proxies."""
     group.cut(body["source"], body["target"], bool(body.get("one_way", False)))
 
 
 @FAULTS.register("heal")
 async def heal(group: StandinGroup, body: dict[str, Any]) -> None:
-    """Mend all links."""
+    """Heal all cut links."""
     group.heal()
 
 
@@ -62,17 +62,17 @@
 
 @FAULTS.register("leave")
 async def leave(group: StandinGroup, body: dict[str, Any]) -> None:
-    """Let an upstream say that it leaves the group."""
+    """Make an upstream report that it is leaving the group."""
     group[body["name"]].leaving = bool(body.get("leaving", True))
 
 
 @FAULTS.register("options")
 async def change_options(group: StandinGroup, body: dict[str, Any]) -> None:
-    """Change sizes and delays of one upstream, or of all."""
+    """Change the limits and delays of one upstream, or of all."""
     names = [body["name"]] if "name" in body else group.names
     for key in body:
         if key != "name" and key not in UpstreamOptions.__slots__:
-            raise KeyError(f"no option {key!r}")
+            raise KeyError(f"unknown option {key!r}")
     for name in names:
         for key, value in body.items():
             if key != "name":
@@ -86,7 +86,7 @@
 
     Attributes:
         group: The group.
-        address: Where it listens; port 0 is replaced at the start.
+        address: Address to listen on; port 0 is replaced at the start.
     """
 
     __slots__ = ("group", "address", "runner")
@@ -97,12 +97,12 @@
         self.runner: web.AppRunner | None = None
 
     async def start(self) -> None:
-        """Listen."""
+        """Start listening."""
         application = web.Application()
         application.add_routes(
             [
                 web.put("/fault/{kind}", self.inject),
-                web.get("/status", self.report),
+                web.get("/status", self.report_status),
             ]
         )
         self.runner = web.AppRunner(
@@ -126,12 +126,12 @@
             return web.Response(status=400, text=f"{error}\n")
         return web.json_response({})
 
-    async def report(self, request: web.Request) -> web.Response:
-        """Answer the status of each upstream."""
-        described = {}
+    async def report_status(self, request: web.Request) -> web.Response:
+        """Return the status of each upstream."""
+        statuses = {}
         for name, upstream in self.group.upstreams.items():
             status = upstream.read_status()
-            described[name] = {
+            statuses[name] = {
                 "role": str(status.role),
                 "term": status.term,
                 "fenced_term": status.fenced_term,
@@ -140,4 +140,4 @@
                 "is_running": upstream.is_running,
                 "sessions": len(upstream.sessions),
             }
-        return web.json_response(described)
+        return web.json_response(statuses)
--- a/ebonyrack/standins/control_plane.py
+++ b/ebonyrack/standins/control_plane.py
@@ -1,4 +1,4 @@
-"""Proxies that run only the control plane, and the platform, in one event loop."""
+"""Proxies that run only their control plane, and the platform, in one event loop."""
 
 from __future__ import annotations
 
@@ -21,9 +21,9 @@
 
 SECRET = "the secret of a test"
 SECRET_BYTES = 8
-CONDITION_LIMIT_S = 30.0
+CONDITION_TIMEOUT_S = 30.0
 POLL_S = 0.01
-SEEDS = 3
+MAXIMUM_SEEDS = 3
 
 SETTINGS = """
 [proxy]
@@ -49,16 +49,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Timeouts:
-    """Times and rates of the proxies; those of a test by default.
+    """Timeouts and rates of the proxies; the defaults are for tests.
 
     Attributes:
-        store_s: Time-out of a call to the store, in seconds.
+        store_s: Timeout of a call to the store, in seconds.
         watch_s: Longest wait of a watch, in seconds.
-        calls_per_s: Calls to the store a second.
+        calls_per_s: Maximum rate of calls to the store, per second.
         heartbeat_s: Seconds between heartbeats.
-        suspect_s: Seconds of silence until a peer is doubted.
-        dead_s: Seconds of silence until a peer is held for dead.
-        cut_off_s: Seconds alone until a proxy is cut off.
+        suspect_s: Seconds of silence until a peer is suspected.
+        dead_s: Seconds of silence until a peer is considered dead.
+        cut_off_s: Seconds without contact until a proxy is considered cut off.
     """
 
     store_s: float = 0.5
@@ -87,11 +87,11 @@
     Args:
         name: Its name.
         store: Address of the platform's store.
-        seeds: Peers to meet first.
+        seeds: Addresses of the peers to connect to first.
         data_centre: Its data centre.
         watchers: Proxies of a data centre that watch the store.
-        timeouts: Times and rates.
-        secret: What the proxies share.
+        timeouts: Timeouts and rates.
+        secret: Secret shared by the proxies.
 
     Returns:
         The settings.
@@ -105,9 +105,9 @@
         watchers=watchers,
         timeouts=timeouts or Timeouts(),
     )
-    settings, faults = parse_settings(text, name)
+    settings, errors = parse_settings(text, name)
     if settings is None:
-        raise ValueError("; ".join(map(str, faults)))
+        raise ValueError("; ".join(map(str, errors)))
     return settings
 
 
@@ -120,10 +120,10 @@
         store: Client of the store.
         hub: Links to the peers.
         watch: Keeps the document up to date.
-        edits: Takes operators' edits.
+        edit_handler: Handles operators' edits.
     """
 
-    __slots__ = ("settings", "state", "store", "hub", "watch", "edits", "stack")
+    __slots__ = ("settings", "state", "store", "hub", "watch", "edit_handler", "stack")
 
     def __init__(self, settings: Settings) -> None:
         self.settings = settings
@@ -131,17 +131,17 @@
         self.store = ConsulStore(settings.store)
         self.hub = PeerHub(settings)
         self.watch = ConfigurationWatch(settings, self.state, self.store, self.hub)
-        self.edits = EditHandler(self.state, self.store, self.hub)
+        self.edit_handler = EditHandler(self.state, self.store, self.hub)
         self.stack = AsyncExitStack()
 
     async def start(self) -> None:
-        """Start the parts."""
+        """Start the store client, the links to peers and the watch."""
         await self.stack.enter_async_context(self.store)
         await self.stack.enter_async_context(self.hub)
         await self.stack.enter_async_context(self.watch)
 
     async def stop(self) -> None:
-        """Stop the parts."""
+        """Stop what was started, in reverse order."""
         await self.stack.aclose()
 
     @property
@@ -155,9 +155,9 @@
 
     Attributes:
         platform: The platform's stand-in.
-        planes: The proxies that run.
-        timeouts: Times and rates of the proxies.
-        secret: What the proxies of this fleet share, and no other's.
+        planes: The running proxies.
+        timeouts: Timeouts and rates of the proxies.
+        secret: Secret shared by the proxies of this fleet only.
     """
 
     __slots__ = ("platform", "planes", "timeouts", "secret")
@@ -166,7 +166,7 @@
         self.platform = StandinPlatform()
         self.planes: list[ControlPlane] = []
         self.timeouts = timeouts or Timeouts()
-        # A removed proxy's port may be given to another fleet of the machine.
+        # Another fleet on this machine may be given the port of a removed proxy.
         self.secret = secrets.token_hex(SECRET_BYTES)
 
     async def start(self) -> None:
@@ -185,7 +185,7 @@
         """Start one more proxy.
 
         Args:
-            name: Its name; numbered if empty.
+            name: Its name; a numbered one if empty.
             data_centre: Its data centre.
             watchers: Proxies of a data centre that watch the store.
 
@@ -195,7 +195,7 @@
         settings = build_settings(
             name or f"proxy-{len(self.planes)}",
             self.platform.address,
-            [plane.hub.address for plane in self.planes[:SEEDS]],
+            [plane.hub.address for plane in self.planes[:MAXIMUM_SEEDS]],
             data_centre,
             watchers,
             self.timeouts,
@@ -207,12 +207,12 @@
         return plane
 
     async def remove(self, plane: ControlPlane) -> None:
-        """Stop a proxy without a word to the others."""
+        """Stop a proxy without notifying the others."""
         self.planes.remove(plane)
         await plane.stop()
 
     async def wait_until_connected(self) -> None:
-        """Wait until all proxies know each other."""
+        """Wait until every proxy has all proxies as live members."""
         count = len(self.planes)
         await wait_until(
             lambda: all(
@@ -229,13 +229,13 @@
 
 
 async def wait_until(
-    condition: Callable[[], bool], limit_s: float = CONDITION_LIMIT_S
+    condition: Callable[[], bool], limit_s: float = CONDITION_TIMEOUT_S
 ) -> None:
     """Wait until a condition holds.
 
     Args:
-        condition: Asked again and again.
-        limit_s: Seconds after which waiting ends with a TimeoutError.
+        condition: Polled until it returns True.
+        limit_s: Seconds after which a TimeoutError is raised.
     """
     async with asyncio.timeout(limit_s):
         while not condition():
--- a/ebonyrack/standins/faults.py
+++ b/ebonyrack/standins/faults.py
@@ -9,16 +9,17 @@
 
 
 class UpstreamFaults:
-    """Switches that hold back or lose an upstream's traffic.
+    """Switches that delay or drop an upstream's traffic.
 
-    A cut link keeps its bytes and delivers them after it heals, as TCP does.
+    A cut link queues its bytes and delivers them after it is healed, as TCP does.
 
     Attributes:
         is_frozen: Whether the upstream neither reads nor answers anything.
-        cut_from: Peers whose bytes don't arrive here.
-        cut_to: Peers to whom this upstream's bytes don't arrive.
+        cut_from: Peers whose bytes don't arrive at this upstream.
+        cut_to: Peers at which this upstream's bytes don't arrive.
         answer_delay_s: Extra delay before each answer, in seconds.
-        lost_commit_answers: How many commits yet take effect with their answer lost.
+        lost_commit_answers: Number of further commits that take effect with their
+            answer lost.
     """
 
     __slots__ = (
@@ -44,7 +45,7 @@
         cut_from: set[str] | None = None,
         cut_to: set[str] | None = None,
     ) -> Self:
-        """Change the switches that are given and wake whoever waits for them."""
+        """Change the given switches and wake all waiters."""
         if frozen is not None:
             self.is_frozen = frozen
         if cut_from is not None:
@@ -60,21 +61,21 @@
         return not self.is_frozen and peer not in self.cut_from
 
     def can_send(self, peer: str) -> bool:
-        """Return whether bytes to a peer leave and arrive."""
+        """Return whether bytes to a peer arrive."""
         return not self.is_frozen and peer not in self.cut_to
 
     async def wait_receivable(self, peer: str) -> None:
-        """Return once bytes of a peer arrive."""
+        """Wait until bytes of a peer arrive."""
         while not self.can_receive(peer):
             await self.changed.wait()
 
     async def wait_sendable(self, peer: str) -> None:
-        """Return once bytes to a peer arrive there."""
+        """Wait until bytes to a peer arrive."""
         while not self.can_send(peer):
             await self.changed.wait()
 
     def consume_lost_commit_answer(self) -> bool:
-        """Use up one lost answer of a commit, if any is due."""
+        """Return whether a commit's answer is to be lost; if so, count it down."""
         if not self.lost_commit_answers:
             return False
         self.lost_commit_answers -= 1
--- a/ebonyrack/standins/group.py
+++ b/ebonyrack/standins/group.py
@@ -20,7 +20,7 @@
 
 
 class StandinGroup(Component):
-    """Upstreams that replicate from the first, with hooks to make them fail.
+    """Upstreams that replicate from the first, with methods that inject faults.
 
     Attributes:
         upstreams: Upstreams by name, `up-1` first.
@@ -59,7 +59,7 @@
             await upstream.follow(FIRST_TERM, first.address)
 
     async def stop(self) -> None:
-        """End all upstreams and forget their databases."""
+        """Kill all upstreams and close their databases."""
         await asyncio.gather(*(item.kill() for item in self.upstreams.values()))
         for upstream in self.upstreams.values():
             upstream.database.close()
@@ -82,7 +82,7 @@
         return max(primaries, key=lambda item: item.term, default=None)
 
     def specs(self) -> tuple[UpstreamSpec, ...]:
-        """Return the upstreams as the operators' document names them."""
+        """Return the upstreams as the operators' document lists them."""
         return tuple(
             UpstreamSpec(name=name, address=item.address, data_centre=data_centre)
             for (name, item), data_centre in zip(
@@ -101,27 +101,27 @@
         )
 
     async def kill(self, name: str) -> None:
-        """Stop an upstream at once; only its log and terms stay."""
+        """Kill an upstream; only its log and terms persist."""
         await self.upstreams[name].kill()
 
     async def restart(self, name: str) -> None:
-        """Bring a killed upstream back as a replica that waits to follow."""
+        """Restart a killed upstream as a replica that waits for a follow command."""
         await self.upstreams[name].restart()
 
     async def reimage(self, name: str) -> None:
-        """Bring an upstream back under its name with nothing on its disk."""
+        """Restart an upstream under its name with an empty disk."""
         await self.upstreams[name].reimage()
 
     def freeze(self, name: str) -> None:
-        """Let an upstream keep its sockets but neither read nor answer."""
+        """Freeze an upstream: it keeps its sockets but neither reads nor answers."""
         self.upstreams[name].faults.apply(frozen=True)
 
     def resume(self, name: str) -> None:
-        """Let a frozen upstream go on where it stopped."""
+        """Resume a frozen upstream where it stopped."""
         self.upstreams[name].faults.apply(frozen=False)
 
     def cut(self, source: str, target: str, one_way: bool = False) -> None:
-        """Hold back all bytes between two ends.
+        """Cut the link between two ends; its bytes are queued.
 
         Args:
             source: Name of an upstream, or `proxies`.
@@ -137,7 +137,7 @@
             self.cut(target, source, one_way=True)
 
     def heal(self) -> None:
-        """Mend every cut link; bytes held back are delivered."""
+        """Heal every cut link; queued bytes are delivered."""
         for upstream in self.upstreams.values():
             upstream.faults.apply(cut_from=set(), cut_to=set())
 
@@ -146,11 +146,11 @@
         self.upstreams[name].faults.answer_delay_s = answer_delay_s
 
     def lose_commit_answers(self, name: str, count: int = 1) -> None:
-        """Let the next commits take effect but break off before the answer."""
+        """Make the next commits take effect and abort their connections unanswered."""
         self.upstreams[name].faults.lost_commit_answers = count
 
     def set_lag(self, apply_delay_s: float, receive_delay_s: float = 0.0) -> None:
-        """Set how far replicas are behind, in seconds."""
+        """Set the delays of applying and receiving the log, in seconds."""
         for upstream in self.upstreams.values():
             upstream.options.apply_delay_s = apply_delay_s
             upstream.options.receive_delay_s = receive_delay_s
--- a/ebonyrack/standins/key_value.py
+++ b/ebonyrack/standins/key_value.py
@@ -14,15 +14,15 @@
 
 @dataclass(slots=True)
 class KeyValueEntry:
-    """One key.
+    """One key with its value and indexes.
 
     Attributes:
         value: Its value.
         create_index: Index of the change that created it.
         modify_index: Index of its last change.
-        lock_index: How often a session acquired it.
+        lock_index: Number of times that a session acquired it.
         flags: Number that a client may set.
-        session: Session that holds it, or an empty string.
+        session: Id of the session that holds it, or an empty string.
         previous: Entry before the last change, for stale reads.
     """
 
@@ -37,14 +37,14 @@
 
 @dataclass(slots=True)
 class LeaseSession:
-    """A session that holds keys until it is destroyed or its time is over.
+    """A session that holds keys until it is destroyed or expires.
 
     Attributes:
-        ttl_s: Time to live in seconds, 0 for no limit.
+        ttl_s: Time to live in seconds, or 0 for no limit.
         behaviour: `release` or `delete`: what happens to its keys at its end.
-        lock_delay_s: Time for which its keys can't be acquired after it lapsed.
+        lock_delay_s: Seconds for which its keys can't be acquired after it expired.
         name: Name given by the client.
-        expires_s: Monotonic time at which it lapses.
+        expires_s: Monotonic time at which it expires.
     """
 
     ttl_s: float
@@ -65,17 +65,17 @@
 
 
 class KeyValueState:
-    """Keys, sessions and VM list, each change with the next index.
+    """Keys, sessions and VM list, with an index that every change increments.
 
     Attributes:
         index: Index of the last change.
-        entries: Present keys.
-        deleted: Index of the deletion of keys that are gone.
+        entries: Existing keys.
+        deleted: Index of the deletion of each deleted key.
         sessions: Sessions by id.
-        blocked_until_s: Time until which a key can't be acquired.
+        blocked_until_s: Monotonic time until which a key can't be acquired.
         nodes: VM list.
         nodes_index: Index of the last change of the VM list.
-        changed: Set and replaced at each change.
+        changed: Event that is set and replaced at each change.
     """
 
     __slots__ = (
@@ -100,21 +100,21 @@
         self.changed = asyncio.Event()
 
     def advance(self) -> int:
-        """Take the next index and wake every blocking query."""
+        """Increment the index and wake every blocking query."""
         self.index += 1
         self.changed.set()
         self.changed = asyncio.Event()
         return self.index
 
     def key_index(self, key: str) -> int:
-        """Return the index that a blocking query on a key compares."""
+        """Return the index of a key, for blocking queries."""
         entry = self.entries.get(key)
         if entry is not None:
             return entry.modify_index
         return self.deleted.get(key, 1)
 
     def put(self, key: str, value: bytes, cas: int | None, flags: int) -> bool:
-        """Set a key, if its index is still the one given.
+        """Set a key if its modify index is still the given one.
 
         Args:
             key: The key.
@@ -129,11 +129,11 @@
         if cas is not None and cas != (old.modify_index if old else 0):
             return False
         index = self.advance()
-        self.entries[key] = build_next(old, value, index, flags)
+        self.entries[key] = build_next_entry(old, value, index, flags)
         return True
 
     def acquire(self, key: str, value: bytes, session_id: str, flags: int) -> bool:
-        """Set a key and hold it for a session, unless another holds it.
+        """Set a key and lock it for a session, unless another session holds it.
 
         Raises:
             KeyError: If there is no such session.
@@ -146,25 +146,25 @@
         if self.blocked_until_s.get(key, 0.0) > now_s():
             return False
         index = self.advance()
-        entry = build_next(old, value, index, flags)
+        entry = build_next_entry(old, value, index, flags)
         entry.lock_index += not (old is not None and old.session == session_id)
         entry.session = session_id
         self.entries[key] = entry
         return True
 
     def release(self, key: str, value: bytes, session_id: str, flags: int) -> bool:
-        """Set a key and let it go, if the session holds it."""
+        """Set a key and unlock it if the session holds it."""
         old = self.entries.get(key)
         if old is None or old.session != session_id:
             return False
         index = self.advance()
-        entry = build_next(old, value, index, flags)
+        entry = build_next_entry(old, value, index, flags)
         entry.session = ""
         self.entries[key] = entry
         return True
 
     def delete(self, key: str, cas: int | None) -> bool:
-        """Delete a key, if its index is still the one given."""
+        """Delete a key if its modify index is still the given one."""
         old = self.entries.get(key)
         if cas is not None and cas != (old.modify_index if old else 0):
             return False
@@ -185,21 +185,23 @@
         return session_id
 
     def renew_session(self, session_id: str) -> LeaseSession | None:
-        """Start a session's time to live again."""
+        """Restart the time to live of a session, and return the session."""
         session = self.sessions.get(session_id)
         if session is not None and session.ttl_s:
             session.expires_s = now_s() + session.ttl_s
         return session
 
-    def destroy_session(self, session_id: str, lapsed: bool = False) -> None:
-        """End a session and let its keys go or delete them."""
+    def destroy_session(self, session_id: str, has_expired: bool = False) -> None:
+        """End a session and release or delete its keys."""
         session = self.sessions.pop(session_id, None)
         if session is None:
             return
         self.advance()
-        held = [key for key, item in self.entries.items() if item.session == session_id]
-        for key in held:
-            if lapsed and session.lock_delay_s:
+        held_keys = [
+            key for key, item in self.entries.items() if item.session == session_id
+        ]
+        for key in held_keys:
+            if has_expired and session.lock_delay_s:
                 self.blocked_until_s[key] = now_s() + session.lock_delay_s
             if session.behaviour == DELETE_BEHAVIOUR:
                 self.delete(key, None)
@@ -207,11 +209,11 @@
                 self.release(key, self.entries[key].value, session_id, 0)
 
     def expire_sessions(self) -> None:
-        """End every session whose time is over."""
-        present_s = now_s()
+        """End every expired session."""
+        time_s = now_s()
         for session_id, session in list(self.sessions.items()):
-            if session.expires_s <= present_s:
-                self.destroy_session(session_id, lapsed=True)
+            if session.expires_s <= time_s:
+                self.destroy_session(session_id, has_expired=True)
 
     def set_nodes(self, nodes: list[Node]) -> None:
         """Replace the VM list."""
@@ -219,10 +221,10 @@
         self.nodes_index = self.advance()
 
 
-def build_next(
+def build_next_entry(
     old: KeyValueEntry | None, value: bytes, index: int, flags: int
 ) -> KeyValueEntry:
-    """Build the entry that follows a change of its value."""
+    """Build the entry that replaces an old one when its value changes."""
     if old is None:
         return KeyValueEntry(value, index, index, flags=flags)
     old.previous = None
--- a/ebonyrack/standins/kv_service.py
+++ b/ebonyrack/standins/kv_service.py
@@ -1,4 +1,4 @@
-"""Stand-in for the platform's store with leases and watches, and its promotions."""
+"""Stand-in for the platform's service: a store with leases, watches and promotions."""
 
 from __future__ import annotations
 
@@ -23,13 +23,13 @@
 
 @dataclass(slots=True)
 class KvFaults:
-    """What the service does wrong.
+    """Faults of the service.
 
     Attributes:
-        status: Status with which every call is refused, or 0.
-        lose_answers: How many changes yet are made with their answer lost.
-        late_orders_s: Delay with which orders are carried out, unanswered; 0 for
-            none.
+        status: HTTP status with which every call is rejected, or 0.
+        lose_answers: Number of further changes that take effect unanswered.
+        late_orders_s: Delay in seconds after which promotion orders are carried out
+            without an answer; 0 for none.
     """
 
     status: int = 0
@@ -43,33 +43,33 @@
 
     value: bytes
     revision: int
-    created: int
+    created_revision: int
     lease: int
 
 
 @dataclass(slots=True)
 class KvLease:
-    """A lease: its length and the monotonic time of its end."""
+    """A lease: its time to live and the monotonic time at which it expires."""
 
     ttl_s: float
-    ends_s: float
+    expires_s: float
 
 
 class KvService(Component):
     """The platform's HTTP service: an async context manager.
 
     Attributes:
-        groups: Groups whose primaries can be changed, by name.
-        address: Where it listens.
-        items: The keys.
-        events: Every change, in order.
-        oldest: Revision after which the history is known.
-        faults: What it does wrong.
+        groups: Database groups that accept promotion orders, by name.
+        address: Address to listen on; port 0 is replaced at the first start.
+        items: Items by key.
+        events: Changes of the kept history, in order.
+        compacted_revision: Revision up to which the history was dropped.
+        faults: Injected faults.
         tokens: Highest fencing token seen for each group.
-        orders: Group, upstream and token of each order that was accepted.
-        promotion_duration_s: How long a promotion takes.
-        calls: Path of each call.
-        stale_reads: Reads that were asked for as possibly stale.
+        accepted_orders: Group, upstream and token of each accepted order.
+        promotion_duration_s: Duration of a promotion, in seconds.
+        calls: Path of each call, in order.
+        stale_reads: Number of reads that accepted stale data.
     """
 
     def __init__(self, groups: dict[str, LineGroup]) -> None:
@@ -79,20 +79,20 @@
         self.leases: dict[int, KvLease] = {}
         self.events: list[dict[str, Any]] = []
         self.revision = 1
-        self.oldest = 0
+        self.compacted_revision = 0
         self.faults = KvFaults()
         self.tokens: dict[str, int] = {}
-        self.orders: list[tuple[str, str, int]] = []
+        self.accepted_orders: list[tuple[str, str, int]] = []
         self.promotion_duration_s = 0.05
         self.calls: list[str] = []
         self.stale_reads = 0
         self.changed = asyncio.Condition()
         self.tasks: set[asyncio.Task[None]] = set()
         self.runner: web.AppRunner | None = None
-        self.expiry: asyncio.Task[None] | None = None
+        self.expiry_task: asyncio.Task[None] | None = None
 
     async def start(self) -> None:
-        """Listen."""
+        """Start listening."""
         app = web.Application(middlewares=[self.apply_faults])
         app.router.add_get("/kv-key", self.get_key)
         app.router.add_get("/kv-range", self.get_range)
@@ -107,11 +107,11 @@
         await site.start()
         port = self.runner.addresses[0][1]
         self.address = Address(self.address.host, port)
-        self.expiry = asyncio.create_task(self.expire())
+        self.expiry_task = asyncio.create_task(self.expire_leases())
 
     async def stop(self) -> None:
         """Stop listening; the keys stay."""
-        await end_tasks([self.expiry, *self.tasks])
+        await end_tasks([self.expiry_task, *self.tasks])
         if self.runner is not None:
             await self.runner.cleanup()
 
@@ -119,7 +119,7 @@
     async def apply_faults(
         self, request: web.Request, handler: Any
     ) -> web.StreamResponse:
-        """Refuse a call, or lose the answer to a change."""
+        """Reject a call, or drop the answer to a change."""
         self.calls.append(request.path)
         if self.faults.status:
             return web.json_response({}, status=self.faults.status)
@@ -131,12 +131,12 @@
         return response
 
     async def put(self, key: str, value: bytes, lease: int = 0) -> int:
-        """Write a key without a condition, as operators and upstreams do."""
+        """Write a key unconditionally, as operators and upstreams do."""
         self.revision += 1
-        known = self.items.get(key)
-        created = known.created if known is not None else self.revision
+        existing = self.items.get(key)
+        created = existing.created_revision if existing is not None else self.revision
         self.items[key] = KvItem(value, self.revision, created, lease)
-        await self.record(describe(key, self.items[key]))
+        await self.record_event(describe_item(key, self.items[key]))
         return self.revision
 
     async def put_json(self, key: str, body: dict[str, Any]) -> int:
@@ -148,46 +148,54 @@
         if self.items.pop(key, None) is not None:
             self.revision += 1
             event = {"key": key, "revision": self.revision, "tombstone": True}
-            await self.record(event)
+            await self.record_event(event)
 
-    async def record(self, event: dict[str, Any]) -> None:
-        """Keep a change and wake the watches."""
+    async def record_event(self, event: dict[str, Any]) -> None:
+        """Add a change to the history and wake the watches."""
         self.events.append(event)
         async with self.changed:
             self.changed.notify_all()
 
     async def drop_history(self) -> None:
-        """Forget the changes so far and cut the watches."""
-        self.oldest = self.revision
+        """Drop the history, so that watches from earlier revisions fail."""
+        self.compacted_revision = self.revision
         self.events.clear()
         async with self.changed:
             self.changed.notify_all()
 
-    async def expire(self) -> None:
-        """End leases whose time is over, until cancelled."""
+    async def expire_leases(self) -> None:
+        """Delete expired leases and their keys periodically, until cancelled."""
         while True:
             await asyncio.sleep(EXPIRY_INTERVAL_S)
             now = now_s()
-            ended = [each for each, lease in self.leases.items() if lease.ends_s < now]
-            for lease in ended:
-                del self.leases[lease]
-                for key in [k for k, item in self.items.items() if item.lease == lease]:
+            expired = [
+                lease_id
+                for lease_id, lease in self.leases.items()
+                if lease.expires_s < now
+            ]
+            for lease_id in expired:
+                del self.leases[lease_id]
+                for key in [
+                    k for k, item in self.items.items() if item.lease == lease_id
+                ]:
                     await self.remove(key)
 
     async def get_key(self, request: web.Request) -> web.Response:
-        """Answer one key."""
+        """Return one key."""
         key = request.query["key"]
         item = self.items.get(key)
         if item is None:
             return web.json_response({}, status=404)
-        return web.json_response({**describe(key, item), "currentRev": self.revision})
+        return web.json_response(
+            {**describe_item(key, item), "currentRev": self.revision}
+        )
 
     async def get_range(self, request: web.Request) -> web.Response:
-        """Answer one page of keys."""
+        """Return one page of keys."""
         prefix, after = request.query["prefix"], request.query.get("after", "")
         self.stale_reads += request.query.get("serializable") == "1"
         keys = sorted(k for k in self.items if k.startswith(prefix) and k > after)
-        page = [describe(key, self.items[key]) for key in keys[:PAGE_ITEMS]]
+        page = [describe_item(key, self.items[key]) for key in keys[:PAGE_ITEMS]]
         return web.json_response(
             {
                 "items": page,
@@ -197,34 +205,34 @@
         )
 
     async def get_watch(self, request: web.Request) -> web.Response:
-        """Answer changes after a revision, or wait for them."""
+        """Return the changes after a revision; wait if there are none yet."""
         prefix, after = request.query["prefix"], int(request.query["after"])
-        ends_s = now_s() + int(request.query["waitMs"]) / MS_PER_S
+        deadline_s = now_s() + int(request.query["waitMs"]) / MS_PER_S
         while True:
-            if after < self.oldest:
+            if after < self.compacted_revision:
                 return web.json_response({}, status=410)
             events = [
                 event
                 for event in self.events
                 if event["revision"] > after and event["key"].startswith(prefix)
             ]
-            if events or now_s() >= ends_s:
+            if events or now_s() >= deadline_s:
                 return web.json_response(
                     {"events": events, "currentRev": self.revision}
                 )
             async with self.changed:
                 try:
-                    async with asyncio.timeout(ends_s - now_s()):
+                    async with asyncio.timeout(deadline_s - now_s()):
                         await self.changed.wait()
                 except TimeoutError:
                     continue
 
     async def post_transaction(self, request: web.Request) -> web.Response:
-        """Make a change if its conditions hold."""
+        """Apply writes and deletions if all expected revisions match."""
         body = await request.json()
-        for row in body["expected"]:
-            item = self.items.get(row["key"])
-            if (item.revision if item is not None else 0) != row["revision"]:
+        for condition in body["expected"]:
+            item = self.items.get(condition["key"])
+            if (item.revision if item is not None else 0) != condition["revision"]:
                 return web.json_response({"items": []}, status=412)
         for write in body["writes"]:
             if write["lease"] and write["lease"] not in self.leases:
@@ -237,7 +245,7 @@
         return web.json_response({"revision": self.revision})
 
     async def post_lease(self, request: web.Request) -> web.Response:
-        """Start a lease."""
+        """Grant a lease."""
         ttl_ms = (await request.json())["ttlMs"]
         self.revision += 1
         ttl_s = ttl_ms / MS_PER_S
@@ -249,36 +257,36 @@
         lease = self.leases.get(int(request.match_info["lease"]))
         if lease is None:
             return web.json_response({}, status=404)
-        lease.ends_s = now_s() + lease.ttl_s
+        lease.expires_s = now_s() + lease.ttl_s
         return web.json_response({"ttlMs": round(lease.ttl_s * MS_PER_S)})
 
     async def post_promote(self, request: web.Request) -> web.Response:
-        """Take an order to change a primary."""
+        """Accept an order to promote an upstream."""
         body = await request.json()
         token = int(request.headers["X-Fencing-Token"])
         name, member_id = body["service"], body["id"]
         if self.faults.late_orders_s:
-            self.start_order(name, member_id, token, self.faults.late_orders_s)
+            self.schedule_order(name, member_id, token, self.faults.late_orders_s)
             assert request.transport is not None
             request.transport.abort()
             return web.Response()
         if not self.accept_token(name, token):
             return web.json_response({}, status=409)
-        self.orders.append((name, member_id, token))
-        self.start_order(name, member_id, token, self.promotion_duration_s)
+        self.accepted_orders.append((name, member_id, token))
+        self.schedule_order(name, member_id, token, self.promotion_duration_s)
         return web.json_response({})
 
     def accept_token(self, group: str, token: int) -> bool:
-        """Return whether no higher token was seen, and remember this one."""
+        """Return whether no higher token was seen; if so, record this one."""
         if token < self.tokens.get(group, 0):
             return False
         self.tokens[group] = token
         return True
 
-    def start_order(
+    def schedule_order(
         self, group: str, member_id: str, token: int, delay_s: float
     ) -> None:
-        """Carry an order out after a time, if its token still holds then."""
+        """Carry out an order after a delay, if no higher token was seen by then."""
 
         async def carry_out() -> None:
             await asyncio.sleep(delay_s)
@@ -290,12 +298,12 @@
         task.add_done_callback(self.tasks.discard)
 
 
-def describe(key: str, item: KvItem) -> dict[str, Any]:
-    """Return an item as the service answers it."""
+def describe_item(key: str, item: KvItem) -> dict[str, Any]:
+    """Build the JSON form of an item."""
     return {
         "key": key,
         "value": base64.b64encode(item.value).decode(),
         "revision": item.revision,
-        "createdRev": item.created,
+        "createdRev": item.created_revision,
         "lease": item.lease,
     }
--- a/ebonyrack/standins/line_group.py
+++ b/ebonyrack/standins/line_group.py
@@ -14,7 +14,7 @@
     """One commit.
 
     Attributes:
-        position: Its place in the log.
+        position: Its position in the log.
         writes: Item and data of each write.
     """
 
@@ -28,12 +28,12 @@
 
     Attributes:
         member_id: The upstream.
-        request_id: Id that came with it.
-        text: The statement, without the position before it.
-        session: Number of the connection.
+        request_id: Id sent with it.
+        text: The statement without its `AFTER` position.
+        session: Number of the session.
         is_in_transaction: Whether a transaction was open.
         values: Session values at that time.
-        signature: The upstream's mark on the answer.
+        signature: Signature in the answer.
     """
 
     member_id: str
@@ -53,13 +53,13 @@
         member_id: Identity.
         is_primary: Whether it is the primary.
         term: Newest term that it knows.
-        paused_below_term: Term below which it receives nothing; 0 without a pause.
-        log: Commits that it has received.
-        applied_count: Number of them that reads see.
-        apply_delay_s: Time from receiving a commit to showing it.
-        is_replication_blocked: Whether it receives nothing.
-        is_leaving: Whether it reports that it will end.
-        started_at_ms: Time of its start.
+        paused_below_term: Term below which replication is paused; 0 for no pause.
+        log: Entries that it has received.
+        applied_count: Number of log entries that reads see.
+        apply_delay_s: Seconds from receiving an entry to applying it.
+        is_replication_blocked: Whether it receives no entries.
+        is_leaving: Whether it reports that it will shut down.
+        started_at_ms: Time of its start, in milliseconds.
     """
 
     member_id: str
@@ -75,18 +75,18 @@
 
     @property
     def received_position(self) -> LogPosition:
-        """Position up to which it has received the log."""
+        """Position of the last entry that it has received."""
         return self.log[-1].position if self.log else LogPosition(self.term, 0)
 
     @property
     def applied_position(self) -> LogPosition:
-        """Position that its reads see."""
+        """Position of the last entry that its reads see."""
         if self.applied_count == 0:
             return LogPosition(1, 0)
         return self.log[self.applied_count - 1].position
 
     def read(self, item: str) -> str:
-        """Return the data of an item as reads see it."""
+        """Return the applied data of an item."""
         for entry in reversed(self.log[: self.applied_count]):
             for written, data in reversed(entry.writes):
                 if written == item:
@@ -95,17 +95,17 @@
 
 
 class LineGroup:
-    """The upstreams of one group and what they have run.
+    """The upstreams of one group, with their logs and the statements that they ran.
 
     Attributes:
         name: Name of the group.
         members: Upstreams by identity.
-        acknowledging_replicas: Replicas that receive a commit before it is
-            acknowledged.
+        acknowledging_replicas: Number of replicas that must receive a commit before it
+            is acknowledged.
         records: Statements that were run.
         acknowledged: Entries whose commit was acknowledged.
         promotions: Identity and term of each promotion.
-        changed: Wakes commits that wait for a replica.
+        changed: Notified after each replication, for commits that wait.
     """
 
     __slots__ = (
@@ -135,8 +135,8 @@
     @property
     def primary(self) -> LineMember | None:
         """The primary in the newest term, or None."""
-        leaders = [member for member in self.members.values() if member.is_primary]
-        return max(leaders, key=lambda each: each.term) if leaders else None
+        primaries = [member for member in self.members.values() if member.is_primary]
+        return max(primaries, key=lambda each: each.term) if primaries else None
 
     async def commit(
         self, member: LineMember, writes: tuple[tuple[str, str], ...]
@@ -144,45 +144,48 @@
         """Append a commit and wait until enough replicas have received it.
 
         Args:
-            member: The upstream at which it was asked for.
+            member: The primary that commits.
             writes: Item and data of each write.
 
         Returns:
-            The entry, or None if the upstream lost the lead meanwhile.
+            The entry, or None if the upstream is no longer primary in that term.
         """
         term = member.term
-        number = member.log[-1].position.offset + 1 if member.log else 1
-        entry = LogEntry(LogPosition(term, number), writes)
+        offset = member.log[-1].position.offset + 1 if member.log else 1
+        entry = LogEntry(LogPosition(term, offset), writes)
         member.log.append(entry)
         member.applied_count = len(member.log)
         self.replicate(member)
         async with self.changed:
             await self.changed.wait_for(
-                lambda: not self.leads_in(member, term) or self.is_held(member, entry)
+                lambda: (
+                    not self.is_primary_in(member, term)
+                    or self.is_replicated(member, entry)
+                )
             )
-        if not self.leads_in(member, term):
+        if not self.is_primary_in(member, term):
             return None
         self.acknowledged.append(entry)
         return entry
 
-    def leads_in(self, member: LineMember, term: int) -> bool:
-        """Return whether an upstream still leads in a term."""
+    def is_primary_in(self, member: LineMember, term: int) -> bool:
+        """Return whether an upstream is primary in a term."""
         return member.is_primary and member.term == term
 
-    def is_held(self, primary: LineMember, entry: LogEntry) -> bool:
+    def is_replicated(self, primary: LineMember, entry: LogEntry) -> bool:
         """Return whether enough replicas have received an entry."""
-        holders = [
+        receivers = [
             member
             for member in self.members.values()
             if member is not primary and entry in member.log
         ]
-        return len(holders) >= self.acknowledging_replicas
+        return len(receivers) >= self.acknowledging_replicas
 
     def replicate(self, primary: LineMember) -> None:
-        """Hand the primary's log to every replica that receives."""
+        """Copy the primary's log to every replica that can receive it."""
         for member in self.members.values():
-            held = member.paused_below_term > primary.term
-            if member is primary or member.is_replication_blocked or held:
+            is_paused = member.paused_below_term > primary.term
+            if member is primary or member.is_replication_blocked or is_paused:
                 continue
             if member.term > primary.term:
                 continue
@@ -193,27 +196,27 @@
             if member.apply_delay_s == 0:
                 member.applied_count = len(member.log)
             else:
-                self.start(self.apply_later(member, len(member.log)))
-        self.start(self.notify())
+                self.start_task(self.apply_later(member, len(member.log)))
+        self.start_task(self.notify_waiters())
 
     async def apply_later(self, member: LineMember, count: int) -> None:
-        """Show entries to reads after the replica's delay."""
+        """Apply entries after the replica's delay."""
         await asyncio.sleep(member.apply_delay_s)
         member.applied_count = max(member.applied_count, min(count, len(member.log)))
 
-    async def notify(self) -> None:
-        """Wake commits that wait."""
+    async def notify_waiters(self) -> None:
+        """Wake waiting commits."""
         async with self.changed:
             self.changed.notify_all()
 
-    def start(self, coroutine: object) -> None:
-        """Run something beside the caller."""
+    def start_task(self, coroutine: object) -> None:
+        """Run a coroutine in a background task."""
         task = asyncio.ensure_future(coroutine)  # type: ignore[call-overload]
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
     def promote(self, member_id: str) -> None:
-        """Make an upstream the primary of the next term, with what it has received."""
+        """Make an upstream the primary of the next term, with its received log."""
         chosen = self.members[member_id]
         if chosen.is_primary and chosen is self.primary:
             return
@@ -233,7 +236,7 @@
         self.replicate(chosen)
 
     def find_lost_entries(self) -> list[LogEntry]:
-        """Return acknowledged entries that the present primary lacks."""
-        leader = self.primary
-        held = leader.log if leader is not None else []
-        return [entry for entry in self.acknowledged if entry not in held]
+        """Return acknowledged entries that the current primary lacks."""
+        primary = self.primary
+        kept = primary.log if primary is not None else []
+        return [entry for entry in self.acknowledged if entry not in kept]
--- a/ebonyrack/standins/line_system.py
+++ b/ebonyrack/standins/line_system.py
@@ -1,4 +1,4 @@
-"""A whole platform of stand-ins in one event loop, with proxies on it."""
+"""Stand-ins of the platform and a database group, and proxies, in one event loop."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 GROUP = "scheduling"
 MEMBER_IDS = ["up-1", "up-2", "up-3"]
-HEARTBEAT_S = 0.1
+HEARTBEAT_INTERVAL_S = 0.1
 DATA_CENTRE = "bangkok-a"
 
 
@@ -30,11 +30,11 @@
 
 
 def build_document(version: int, **changes: dict[str, Any]) -> dict[str, Any]:
-    """Return the operators' document, one database for each consistency.
+    """Return the operators' document, with one route for each consistency.
 
     Args:
-        version: Number of the version.
-        **changes: Fields of a route by the name of its database.
+        version: Its version number.
+        **changes: Changed fields of a route, by the name of its database.
     """
     routes = []
     for database, kind in (
@@ -68,8 +68,8 @@
         group: Model of the group.
         service: The platform's service.
         upstreams: Upstreams by identity.
-        proxies: The proxies.
-        publisher_tasks: Writes the upstreams' entries.
+        proxies: The running proxies.
+        publisher_tasks: Tasks that renew the entries of the upstreams, by identity.
     """
 
     def __init__(self, proxy_count: int = 1) -> None:
@@ -85,7 +85,7 @@
         self.publisher_tasks: dict[str, asyncio.Task[None]] = {}
 
     async def start(self) -> None:
-        """Start all parts and wait until the proxies are ready."""
+        """Start the stand-ins and the proxies; wait until the proxies are ready."""
         await self.stack.enter_async_context(self.service)
         for upstream in self.upstreams.values():
             await self.stack.enter_async_context(upstream)
@@ -99,7 +99,7 @@
             await self.add_proxy(f"proxy-{number}")
 
     async def stop(self) -> None:
-        """Stop all parts."""
+        """Stop the proxies and the stand-ins."""
         await end_tasks(self.publisher_tasks.values())
         await self.stack.aclose()
 
@@ -120,12 +120,12 @@
         self.proxies.append(proxy)
         while not proxy.proxy.is_ready:
             await asyncio.sleep(0.01)
-        # Tests begin on a platform that has been up for long.
+        # Tests start as if the platform had been running for a long time.
         proxy.proxy.discovery_completed = True
         return proxy
 
     async def publish_entry(self, upstream: LineUpstream, **changes: object) -> None:
-        """Write an upstream's entry."""
+        """Write an upstream's entry to the store."""
         member = upstream.member
         entry = {
             "service": GROUP,
@@ -142,9 +142,9 @@
         await self.service.put_json(f"servers/{member.member_id}", entry)
 
     async def publish_entries(self, upstream: LineUpstream) -> None:
-        """Renew an upstream's entry until cancelled."""
+        """Renew an upstream's entry periodically, until cancelled."""
         while True:
-            await asyncio.sleep(HEARTBEAT_S)
+            await asyncio.sleep(HEARTBEAT_INTERVAL_S)
             if upstream.server is not None:
                 await self.publish_entry(upstream)
 
@@ -153,17 +153,17 @@
     """A caller of a proxy.
 
     Attributes:
-        address: The proxy.
-        database: Database that it asks for.
-        startup_reply: Answer to its startup.
-        number: Number of its last request.
+        address: Address of the proxy.
+        database: Database that it connects to.
+        startup_reply: Reply to its startup line.
+        request_number: Number of its last request.
     """
 
     def __init__(self, address: Address, database: str) -> None:
         self.address = address
         self.database = database
         self.startup_reply = ""
-        self.number = 0
+        self.request_number = 0
         self.reader: asyncio.StreamReader | None = None
         self.writer: asyncio.StreamWriter | None = None
 
@@ -176,25 +176,27 @@
         self.startup_reply = (await self.reader.readline()).decode().strip()
 
     async def stop(self) -> None:
-        """Go away."""
+        """Close the connection."""
         if self.writer is not None:
             self.writer.close()
 
     async def execute(self, text: str) -> list[str]:
-        """Send a statement; return the lines of the answer, the id left out."""
+        """Send a statement with a new id; return the lines of the answer."""
         assert self.writer is not None
-        self.number += 1
-        self.writer.write(f"QUERY {id(self):x}{self.number} {text}\r\n".encode())
+        self.request_number += 1
+        self.writer.write(
+            f"QUERY {id(self):x}{self.request_number} {text}\r\n".encode()
+        )
         return await self.read_answer()
 
     async def send_line(self, line: bytes) -> list[str]:
-        """Send a line as it is; return the lines of the answer."""
+        """Send a raw line; return the lines of the answer."""
         assert self.writer is not None
         self.writer.write(line)
         return await self.read_answer()
 
     async def read_answer(self) -> list[str]:
-        """Return the lines up to the end of an answer, or of the connection."""
+        """Return the lines up to the end of the answer or of the connection."""
         assert self.reader is not None
         lines = []
         while line := (await self.reader.readline()).decode():
--- a/ebonyrack/standins/line_upstream.py
+++ b/ebonyrack/standins/line_upstream.py
@@ -16,27 +16,27 @@
 from ebonyrack.standins.line_group import LineMember
 from ebonyrack.standins.line_group import StatementRecord
 
-SIGNATURES = itertools.count(1)
-SESSIONS = itertools.count(1)
+signature_numbers = itertools.count(1)
+session_numbers = itertools.count(1)
 
 
 class StatementRejectedError(Exception):
-    """A statement that ends with an error code."""
+    """Raised for a rejected statement, with its error code."""
 
 
 @dataclass(slots=True)
 class LineFaults:
-    """What an upstream does wrong.
+    """Faults of an upstream.
 
     Attributes:
-        is_silent: Whether it answers nothing, on old and new connections.
-        lose_answers: How many answers yet to statements with an id are lost, the
-            connection broken in their place.
-        suppress_answers: How many answers yet to statements with an id don't come,
-            while the connection stays.
-        rejections: Codes with which the next statements with an id are rejected.
-        delay_s: How long each statement with an id takes.
-        is_full: Whether it takes no further connection.
+        is_silent: Whether it sends no answers, on open and new connections.
+        lose_answers: Number of further statements with an id that run, after which the
+            connection is closed without an answer.
+        suppress_answers: Number of further statements with an id that run without an
+            answer, while the connection stays open.
+        rejections: Error codes with which the next statements with an id are rejected.
+        delay_s: Delay before each statement with an id runs, in seconds.
+        is_full: Whether it rejects further connections.
     """
 
     is_silent: bool = False
@@ -49,19 +49,19 @@
 
 @dataclass(slots=True)
 class LineSession:
-    """One connection.
+    """Session of one connection.
 
     Attributes:
         number: Its number.
-        state: `I`, `T` or `E`.
-        is_read_only: Whether the open transaction is read only.
+        state: `I` (idle), `T` (in a transaction) or `E` (in a failed transaction).
+        is_read_only: Whether the open transaction is read-only.
         term: Term in which the open transaction began.
         writes: Writes of the open transaction.
         values: Session values.
-        prepared: Kind and shape by name.
+        prepared: Kind and shape of each prepared statement, by name.
     """
 
-    number: int = field(default_factory=lambda: next(SESSIONS))
+    number: int = field(default_factory=lambda: next(session_numbers))
     state: str = "I"
     is_read_only: bool = False
     term: int = 0
@@ -75,12 +75,12 @@
 
     Attributes:
         group: The group.
-        member: Its own part in the model.
-        address: Where it listens; port 0 is replaced at the first start.
-        faults: What it does wrong.
-        server: The listening socket, while open.
+        member: Its state in the model of the group.
+        address: Address to listen on; port 0 is replaced at the first start.
+        faults: Injected faults.
+        server: The listening server, while running.
         tasks: Tasks of its connections.
-        connections: Number of connections that were opened.
+        connections: Number of connections accepted so far.
     """
 
     __slots__ = (
@@ -103,7 +103,7 @@
         self.connections = 0
 
     async def start(self) -> None:
-        """Listen."""
+        """Start listening."""
         self.server = await asyncio.start_server(
             self.serve, self.address.host, self.address.port
         )
@@ -111,7 +111,7 @@
         self.address = Address(self.address.host, port)
 
     async def stop(self) -> None:
-        """Refuse connections and break those that are open, as a crash does."""
+        """Stop listening and abort open connections, as a crash does."""
         if self.server is not None:
             self.server.close()
             self.server = None
@@ -139,18 +139,18 @@
         words = (await reader.readline()).decode().split()
         if not words:
             return
-        await self.hold_while_silent()
-        refusal = self.check_startup(words)
-        if refusal:
-            writer.write(f"ERROR {refusal}\r\n".encode())
+        await self.wait_while_silent()
+        error = self.check_startup(words)
+        if error:
+            writer.write(f"ERROR {error}\r\n".encode())
             await writer.drain()
             return
         session = LineSession()
         writer.write(self.render_ready(session))
         while line := (await reader.readline()).decode().rstrip("\r\n"):
             _, request_id, text = line.split(" ", 2)
-            answer = await self.answer(session, request_id, text)
-            await self.hold_while_silent()
+            answer = await self.build_answer(session, request_id, text)
+            await self.wait_while_silent()
             if request_id != "-" and self.faults.lose_answers > 0:
                 self.faults.lose_answers -= 1
                 return
@@ -160,13 +160,13 @@
             writer.write(answer + self.render_ready(session))
             await writer.drain()
 
-    async def hold_while_silent(self) -> None:
-        """Wait while the upstream answers nothing."""
+    async def wait_while_silent(self) -> None:
+        """Wait while the upstream sends no answers."""
         while self.faults.is_silent:
             await asyncio.sleep(0.01)
 
     def check_startup(self, words: list[str]) -> str:
-        """Return why a session is refused, or an empty text."""
+        """Return the error of a rejected session, or an empty string."""
         if self.faults.is_full:
             return "TOOMANY -"
         expected = words[3] if len(words) > 3 else self.member.member_id
@@ -175,16 +175,18 @@
         return ""
 
     def render_ready(self, session: LineSession) -> bytes:
-        """Return the end of an answer."""
-        shown = (
+        """Return the line that ends an answer."""
+        position = (
             self.member.received_position
             if self.member.is_primary
             else self.member.applied_position
         )
-        return f"READY {session.state} {shown.term}.{shown.offset}\r\n".encode()
+        return f"READY {session.state} {position.term}.{position.offset}\r\n".encode()
 
-    async def answer(self, session: LineSession, request_id: str, text: str) -> bytes:
-        """Run a statement and return its answer without the end."""
+    async def build_answer(
+        self, session: LineSession, request_id: str, text: str
+    ) -> bytes:
+        """Run a statement and return its answer without the last line."""
         try:
             row, signature = await self.run(session, request_id, text)
         except StatementRejectedError as rejection:
@@ -198,19 +200,19 @@
         self, session: LineSession, request_id: str, text: str
     ) -> tuple[str, str]:
         """Run a statement; return its row and signature."""
-        after, text = split_after(text)
-        word, _, rest = text.partition(" ")
+        after, text = split_position(text)
+        command, _, rest = text.partition(" ")
         if request_id != "-":
             await self.apply_faults()
         if after is not None and self.member.applied_position < after:
             raise StatementRejectedError("LAGGING")
-        if session.state == "E" and word not in ("ROLLBACK", "COMMIT"):
+        if session.state == "E" and command not in ("ROLLBACK", "COMMIT"):
             raise StatementRejectedError("MALFORMED")
-        handler = getattr(self, f"run_{word.lower()}", None)
+        handler = getattr(self, f"run_{command.lower()}", None)
         if handler is None:
             raise StatementRejectedError("MALFORMED")
         row = await handler(session, rest)
-        signature = "-" if request_id == "-" else f"sig{next(SIGNATURES)}"
+        signature = "-" if request_id == "-" else f"sig{next(signature_numbers)}"
         self.group.records.append(
             StatementRecord(
                 self.member.member_id,
@@ -225,37 +227,37 @@
         return row, signature
 
     async def apply_faults(self) -> None:
-        """Delay or reject a statement, as the faults say."""
+        """Delay or reject a statement according to the faults."""
         if self.faults.delay_s:
             await asyncio.sleep(self.faults.delay_s)
         if self.faults.rejections:
             raise StatementRejectedError(self.faults.rejections.pop(0))
 
-    def check_lead(self, session: LineSession) -> None:
-        """Refuse what only the primary does."""
-        lost = session.state == "T" and self.member.term != session.term
-        if not self.member.is_primary or lost:
+    def check_primary(self, session: LineSession) -> None:
+        """Reject what only the primary of the transaction's term may run."""
+        has_term_changed = session.state == "T" and self.member.term != session.term
+        if not self.member.is_primary or has_term_changed:
             raise StatementRejectedError("READONLY")
 
     async def run_begin(self, session: LineSession, rest: str) -> str:
         """Begin a transaction."""
         session.is_read_only = rest == "READ"
         if not session.is_read_only:
-            self.check_lead(session)
+            self.check_primary(session)
         session.state, session.term, session.writes = "T", self.member.term, []
         return ""
 
     async def run_read(self, session: LineSession, rest: str) -> str:
-        """Read an item; the transaction's own writes are seen."""
+        """Read an item, including the transaction's own writes."""
         if session.state == "T" and not session.is_read_only:
-            self.check_lead(session)
-        own = [data for item, data in session.writes if item == rest]
-        return own[-1] if own else self.member.read(rest)
+            self.check_primary(session)
+        own_writes = [data for item, data in session.writes if item == rest]
+        return own_writes[-1] if own_writes else self.member.read(rest)
 
     async def run_write(self, session: LineSession, rest: str) -> str:
-        """Write an item, at once or with the transaction."""
+        """Write an item, at once or when the transaction commits."""
         item, _, data = rest.partition(" ")
-        self.check_lead(session)
+        self.check_primary(session)
         if session.state == "T":
             session.writes.append((item, data))
         elif await self.group.commit(self.member, ((item, data),)) is None:
@@ -270,7 +272,7 @@
         if session.writes:
             session.state = "T"
             try:
-                self.check_lead(session)
+                self.check_primary(session)
             finally:
                 session.state = "I"
             writes, session.writes = tuple(session.writes), []
@@ -305,13 +307,13 @@
         return await self.run_read(session, arguments)
 
     async def run_discard(self, session: LineSession, rest: str) -> str:
-        """Forget session values and prepared statements."""
+        """Discard session values and prepared statements."""
         session.values.clear()
         session.prepared.clear()
         return ""
 
     async def run_status(self, session: LineSession, rest: str) -> str:
-        """Say what part this upstream has in the group."""
+        """Return the role, terms and position of this upstream."""
         member = self.member
         role = "primary" if member.is_primary else "replica"
         received = member.received_position
@@ -321,25 +323,25 @@
         )
 
     async def run_pause(self, session: LineSession, rest: str) -> str:
-        """Receive nothing of terms below one."""
+        """Pause replication in terms below the given one."""
         if int(rest) <= self.member.term:
             raise StatementRejectedError("MALFORMED")
         self.member.paused_below_term = int(rest)
         return await self.run_status(session, "")
 
     async def run_resume(self, session: LineSession, rest: str) -> str:
-        """Receive again."""
+        """Resume replication."""
         self.member.paused_below_term = 0
-        leader = self.group.primary
-        if leader is not None:
-            self.group.replicate(leader)
+        primary = self.group.primary
+        if primary is not None:
+            self.group.replicate(primary)
         return await self.run_status(session, "")
 
 
-def split_after(text: str) -> tuple[LogPosition | None, str]:
-    """Split the position that a log must hold off a statement."""
+def split_position(text: str) -> tuple[LogPosition | None, str]:
+    """Split a statement into its `AFTER` position, if any, and the rest."""
     if not text.startswith("AFTER "):
         return None, text
     _, position, text = text.split(" ", 2)
-    term, _, number = position.partition(".")
-    return LogPosition(int(term), int(number)), text
+    term, _, offset = position.partition(".")
+    return LogPosition(int(term), int(offset)), text
--- a/ebonyrack/standins/network.py
+++ b/ebonyrack/standins/network.py
@@ -1,4 +1,4 @@
-"""Links between the places of one event loop's proxies, which can be cut."""
+"""Network links between the sites of one event loop's proxies, which can be cut."""
 
 from __future__ import annotations
 
@@ -13,25 +13,25 @@
 
 READ_BYTES = 65536
 
-# A proxy's tasks inherit this from the task that starts it.
+# Site that opens connections; a proxy's tasks inherit it from the task that starts it.
 DIALLING_SITE: ContextVar[str] = ContextVar("DIALLING_SITE", default="")
 
 Dial = Callable[..., Any]
 
 
 class Network(Component):
-    """Carries what proxies dial, place by place: an async context manager.
+    """Relays connections that proxies open between sites: an async context manager.
 
-    A cut link keeps its bytes, the end of a stream too, and delivers them after it
-    heals, as TCP does; new connections over it wait. Only connections that a task
-    opens within a place are carried, so upstreams and callers are not affected.
+    A cut link queues its bytes and the end of a stream and delivers them after it is
+    healed, as TCP does; new connections over it wait. Only connections opened by a
+    task with a site are relayed, so upstreams and callers are not affected.
 
     Attributes:
         site_by_port: Site of each listener by its port.
-        cut_pairs: Pairs of places between which nothing passes.
-        changed: Set at each change of the cuts, then replaced.
-        tasks: Tasks that carry bytes.
-        dial: The event loop's own way to connect.
+        cut_pairs: Pairs of sites whose link is cut.
+        changed: Event that is set and replaced at each change of the cuts.
+        tasks: Tasks that relay bytes.
+        dial: The event loop's original `create_connection`.
     """
 
     def __init__(self) -> None:
@@ -42,25 +42,25 @@
         self.dial: Dial = asyncio.get_running_loop().create_connection
 
     async def start(self) -> None:
-        """Take over the event loop's outgoing connections."""
+        """Replace the event loop's `create_connection`."""
         loop: Any = asyncio.get_running_loop()
         loop.create_connection = self.create_connection
 
     async def stop(self) -> None:
-        """Give the event loop its own connections back."""
+        """Restore the event loop's `create_connection`."""
         loop: Any = asyncio.get_running_loop()
         del loop.create_connection
         await end_tasks(self.tasks)
 
     def set_cuts(self, *pairs: tuple[str, str]) -> None:
-        """Cut the links between pairs of places, and heal all others."""
+        """Cut the links between pairs of sites, and heal all others."""
         self.cut_pairs = {frozenset(pair) for pair in pairs}
         self.changed.set()
         self.changed = asyncio.Event()
 
-    async def wait_open(self, place: str, port: int) -> None:
-        """Return once bytes pass between a place and a listener."""
-        while frozenset((place, self.site_by_port.get(port, place))) in self.cut_pairs:
+    async def wait_until_open(self, site: str, port: int) -> None:
+        """Wait until bytes can pass between a site and a listener."""
+        while frozenset((site, self.site_by_port.get(port, site))) in self.cut_pairs:
             await self.changed.wait()
 
     async def create_connection(
@@ -70,55 +70,55 @@
         port: int | None = None,
         **options: Any,
     ) -> tuple[asyncio.Transport, asyncio.BaseProtocol]:
-        """Connect as the event loop does, by way of a link that can be cut."""
-        place = DIALLING_SITE.get()
-        if not place or port is None:
+        """Connect as the event loop does, over a link that can be cut."""
+        site = DIALLING_SITE.get()
+        if not site or port is None:
             return await self.dial(factory, host, port, **options)
-        await self.wait_open(place, port)
+        await self.wait_until_open(site, port)
         far = await self.open_stream(host=host, port=port)
         near_end, link_end = socket.socketpair()
         near = await self.open_stream(sock=link_end)
-        self.carry(near[0], far[1], place, port)
-        self.carry(far[0], near[1], place, port)
+        self.start_relay(near[0], far[1], site, port)
+        self.start_relay(far[0], near[1], site, port)
         return await self.dial(factory, sock=near_end)
 
     async def open_stream(
         self, **options: Any
     ) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
-        """Connect without a link."""
+        """Connect directly, without a link."""
         reader = asyncio.StreamReader()
         protocol = asyncio.StreamReaderProtocol(reader)
         transport, _ = await self.dial(lambda: protocol, **options)
         loop = asyncio.get_running_loop()
         return reader, asyncio.StreamWriter(transport, protocol, reader, loop)
 
-    def carry(
+    def start_relay(
         self,
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
-        place: str,
+        site: str,
         port: int,
     ) -> None:
-        """Start the task that carries one direction of a connection."""
-        task = asyncio.create_task(self.pump(reader, writer, place, port))
+        """Start the task that relays one direction of a connection."""
+        task = asyncio.create_task(self.relay(reader, writer, site, port))
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
-    async def pump(
+    async def relay(
         self,
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
-        place: str,
+        site: str,
         port: int,
     ) -> None:
-        """Carry bytes while the link lets them through, until the stream ends."""
+        """Relay bytes while the link isn't cut, until the stream ends."""
         try:
             while data := await reader.read(READ_BYTES):
-                await self.wait_open(place, port)
+                await self.wait_until_open(site, port)
                 writer.write(data)
                 await writer.drain()
         except OSError:
             pass
         finally:
-            await self.wait_open(place, port)
+            await self.wait_until_open(site, port)
             writer.close()
--- a/ebonyrack/standins/platform.py
+++ b/ebonyrack/standins/platform.py
@@ -1,4 +1,4 @@
-"""Stand-in for the platform: Consul-style key-value service and VM list by HTTP."""
+"""Stand-in for the platform: Consul-style key-value service and VM list over HTTP."""
 
 from __future__ import annotations
 
@@ -17,13 +17,13 @@
 from ebonyrack.standins.key_value import MAXIMUM_VALUE_BYTES
 from ebonyrack.standins.key_value import KeyValueState
 from ebonyrack.standins.key_value import Node
-from ebonyrack.standins.platform_calls import answer_bool
-from ebonyrack.standins.platform_calls import break_off
+from ebonyrack.standins.platform_calls import abort_connection
+from ebonyrack.standins.platform_calls import build_bool_response
+from ebonyrack.standins.platform_calls import classify_call
 from ebonyrack.standins.platform_calls import describe_entry
 from ebonyrack.standins.platform_calls import describe_node
-from ebonyrack.standins.platform_calls import name_call
+from ebonyrack.standins.platform_calls import parse_blocking_query
 from ebonyrack.standins.platform_calls import parse_duration
-from ebonyrack.standins.platform_calls import read_blocking
 
 DEFAULT_LOCK_DELAY_S = 15.0
 EXPIRY_INTERVAL_S = 0.05
@@ -34,16 +34,16 @@
 
 
 class StandinPlatform(Component):
-    """The platform's HTTP service, with faults. Its state outlasts stop and start.
+    """The platform's HTTP service, with faults. Its state survives stop and start.
 
     Attributes:
-        address: Where it listens; port 0 is replaced at the first start.
+        address: Address to listen on; port 0 is replaced at the first start.
         state: Keys, sessions and VM list.
         calls: Number of calls by kind; a waiting watch counts as one.
-        is_down: Whether every call's connection breaks off without effect.
+        is_down: Whether every call's connection is aborted without effect.
         delay_s: Delay before each call takes effect, in seconds.
-        lose_answers: How many changes yet take effect with their answer lost.
-        stale_reads: How many reads yet answer the value before the last change.
+        lose_answers: Number of further changes that take effect unanswered.
+        stale_reads: Number of further reads that return the previous value.
     """
 
     __slots__ = (
@@ -70,7 +70,7 @@
         self.expiry_task: asyncio.Task[None] | None = None
 
     async def start(self) -> None:
-        """Listen."""
+        """Start listening."""
         self.runner = web.AppRunner(
             self.build_application(),
             access_log=None,
@@ -81,24 +81,24 @@
         site = web.TCPSite(self.runner, self.address.host, self.address.port)
         await site.start()
         self.address = Address(self.address.host, self.runner.addresses[0][1])
-        self.expiry_task = asyncio.create_task(self.expire())
+        self.expiry_task = asyncio.create_task(self.expire_sessions())
 
     async def stop(self) -> None:
-        """Refuse connections and break off those that are open."""
+        """Stop listening and close open connections."""
         runner, self.runner = self.runner, None
         task, self.expiry_task = self.expiry_task, None
         await end_tasks([task])
         if runner is not None:
             await runner.cleanup()
 
-    async def expire(self) -> None:
-        """End sessions whose time is over, again and again."""
+    async def expire_sessions(self) -> None:
+        """End expired sessions periodically, until cancelled."""
         while True:
             await asyncio.sleep(EXPIRY_INTERVAL_S)
             self.state.expire_sessions()
 
     def build_application(self) -> web.Application:
-        """Build the table of paths."""
+        """Build the web application with its routes."""
         application = web.Application(
             client_max_size=MAXIMUM_VALUE_BYTES, middlewares=[self.inject_faults]
         )
@@ -125,24 +125,24 @@
         """Count a call and apply the faults to it."""
         if request.path.startswith("/standin/"):
             return await handler(request)
-        self.calls[name_call(request)] += 1
+        self.calls[classify_call(request)] += 1
         if self.is_down:
-            return break_off(request)
+            return abort_connection(request)
         if self.delay_s:
             await asyncio.sleep(self.delay_s)
         response = await handler(request)
         if self.is_down:
-            return break_off(request)
+            return abort_connection(request)
         if request.method != "GET" and self.lose_answers:
             self.lose_answers -= 1
-            return break_off(request)
+            return abort_connection(request)
         return response
 
     async def wait_for_change(
         self, request: web.Request, read_index: Callable[[], int]
     ) -> None:
-        """Hold a blocking query until its index is passed or its wait is over."""
-        query = read_blocking(request)
+        """Wait until the index of a blocking query is passed or its time is over."""
+        query = parse_blocking_query(request)
         deadline_s = now_s() + query.wait_s
         while query.index and read_index() <= query.index and not self.is_down:
             try:
@@ -152,7 +152,7 @@
                 return
 
     async def get_key(self, request: web.Request) -> web.Response:
-        """Answer a key, or 404, both with its index."""
+        """Return a key, or 404, both with its index."""
         key = request.match_info["key"]
         await self.wait_for_change(request, lambda: self.state.key_index(key))
         entry = self.state.entries.get(key)
@@ -167,7 +167,7 @@
         return web.json_response([describe_entry(key, entry)], headers=headers)
 
     async def put_key(self, request: web.Request) -> web.Response:
-        """Set a key, by itself or by compare-and-swap, acquire or release."""
+        """Set a key unconditionally or by compare-and-swap, acquire or release."""
         key, query = request.match_info["key"], request.query
         value = await request.read()
         flags = int(query.get("flags", "0"))
@@ -181,12 +181,12 @@
         else:
             cas = int(query["cas"]) if "cas" in query else None
             done = self.state.put(key, value, cas, flags)
-        return answer_bool(done)
+        return build_bool_response(done)
 
     async def delete_key(self, request: web.Request) -> web.Response:
         """Delete a key."""
         cas = int(request.query["cas"]) if "cas" in request.query else None
-        return answer_bool(self.state.delete(request.match_info["key"], cas))
+        return build_bool_response(self.state.delete(request.match_info["key"], cas))
 
     async def create_session(self, request: web.Request) -> web.Response:
         """Create a session."""
@@ -200,7 +200,7 @@
         return web.json_response({"ID": session_id})
 
     async def renew_session(self, request: web.Request) -> web.Response:
-        """Start a session's time to live again."""
+        """Restart the time to live of a session."""
         session_id = request.match_info["id"]
         session = self.state.renew_session(session_id)
         if session is None:
@@ -210,31 +210,31 @@
     async def destroy_session(self, request: web.Request) -> web.Response:
         """End a session."""
         self.state.destroy_session(request.match_info["id"])
-        return answer_bool(True)
+        return build_bool_response(True)
 
     async def list_nodes(self, request: web.Request) -> web.Response:
-        """Answer the VM list."""
+        """Return the VM list."""
         await self.wait_for_change(request, lambda: self.state.nodes_index)
         nodes = [describe_node(node) for node in self.state.nodes]
         headers = {"X-Consul-Index": str(self.state.nodes_index)}
         return web.json_response(nodes, headers=headers)
 
     async def set_nodes(self, request: web.Request) -> web.Response:
-        """Replace the VM list; only the stand-in has this."""
+        """Replace the VM list; the platform itself has no such call."""
         nodes = [Node(**item) for item in await request.json()]
         self.state.set_nodes(nodes)
-        return answer_bool(True)
+        return build_bool_response(True)
 
     async def set_faults(self, request: web.Request) -> web.Response:
-        """Set faults; only the stand-in has this."""
+        """Set faults; the platform itself has no such call."""
         for name, value in (await request.json()).items():
             if name not in FAULT_NAMES:
-                return web.Response(status=400, text=f"no fault {name!r}")
+                return web.Response(status=400, text=f"unknown fault {name!r}")
             setattr(self, name, value)
         self.state.changed.set()
         self.state.changed = asyncio.Event()
-        return answer_bool(True)
+        return build_bool_response(True)
 
     async def list_calls(self, request: web.Request) -> web.Response:
-        """Answer the number of calls by kind; only the stand-in has this."""
+        """Return the number of calls by kind; the platform itself has no such call."""
         return web.json_response(dict(self.calls))
--- a/ebonyrack/standins/platform_calls.py
+++ b/ebonyrack/standins/platform_calls.py
@@ -1,4 +1,4 @@
-"""Reads calls of the platform's HTTP interface and writes their answers."""
+"""Parses calls of the platform's HTTP interface and builds their responses."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
     wait_s: float
 
 
-def name_call(request: web.Request) -> str:
+def classify_call(request: web.Request) -> str:
     """Return the kind under which a call is counted."""
     if request.method == "GET":
         is_watch = request.query.get("index", "0") != "0"
@@ -39,8 +39,8 @@
     return request.method.lower()
 
 
-def read_blocking(request: web.Request) -> BlockingQuery:
-    """Read the index and the wait of a blocking query."""
+def parse_blocking_query(request: web.Request) -> BlockingQuery:
+    """Parse the index and the wait time of a blocking query."""
     index = int(request.query.get("index", "0"))
     wait = request.query.get("wait")
     wait_s = parse_duration(wait) if wait else DEFAULT_WAIT_S
@@ -48,10 +48,10 @@
 
 
 def parse_duration(text: str) -> float:
-    """Read a duration such as `10s`, in seconds.
+    """Parse a duration such as `10s`, in seconds.
 
     Raises:
-        ValueError: If the text has another form.
+        ValueError: If the text is not a duration.
     """
     match = DURATION.match(text.strip())
     if match is None:
@@ -61,7 +61,7 @@
 
 def describe_entry(key: str, entry: KeyValueEntry) -> dict[str, object]:
     """Build the JSON form of a key."""
-    described: dict[str, object] = {
+    fields: dict[str, object] = {
         "Key": key,
         "Value": base64.b64encode(entry.value).decode(),
         "CreateIndex": entry.create_index,
@@ -70,8 +70,8 @@
         "Flags": entry.flags,
     }
     if entry.session:
-        described["Session"] = entry.session
-    return described
+        fields["Session"] = entry.session
+    return fields
 
 
 def describe_node(node: Node) -> dict[str, object]:
@@ -84,15 +84,15 @@
     }
 
 
-def answer_bool(value: bool) -> web.Response:
-    """Answer `true` or `false` as the service does."""
+def build_bool_response(value: bool) -> web.Response:
+    """Build the response `true` or `false`."""
     return web.Response(
         text="true" if value else "false", content_type="application/json"
     )
 
 
-def break_off(request: web.Request) -> web.Response:
-    """Close a call's connection without an answer."""
+def abort_connection(request: web.Request) -> web.Response:
+    """Abort a call's connection instead of answering."""
     if request.transport is not None:
         request.transport.abort()
     return web.Response(status=500)
--- a/ebonyrack/standins/platform_test.py
+++ b/ebonyrack/standins/platform_test.py
@@ -29,7 +29,7 @@
     return index, value
 
 
-async def test_compare_and_swap_lets_one_writer_win():
+async def test_compare_and_swap_accepts_only_one_writer():
     async with StandinPlatform() as platform, aiohttp.ClientSession() as session:
         assert await get(session, platform, "/v1/kv/a/b") == (1, None)
         assert await put(session, platform, "/v1/kv/a/b?cas=0", b"one") is True
@@ -41,7 +41,7 @@
         assert platform.calls == {"get": 2, "cas": 4}
 
 
-async def test_blocking_query_returns_at_the_change_and_counts_once():
+async def test_blocking_query_returns_at_a_change_and_counts_as_one_call():
     async with StandinPlatform() as platform, aiohttp.ClientSession() as session:
         await put(session, platform, "/v1/kv/k", b"one")
         index, _ = await get(session, platform, "/v1/kv/k")
@@ -60,7 +60,7 @@
 
 
 @pytest.mark.parametrize("behaviour", ["release", "delete"])
-async def test_lease_lapses_and_lets_its_key_go(behaviour):
+async def test_expired_lease_releases_or_deletes_its_key(behaviour):
     async with StandinPlatform() as platform, aiohttp.ClientSession() as session:
         ids = []
         for _ in range(2):
@@ -85,7 +85,7 @@
         assert status == 404
 
 
-async def test_vm_list_is_watched():
+async def test_blocking_query_returns_a_changed_vm_list():
     async with StandinPlatform() as platform, aiohttp.ClientSession() as session:
         path = f"/v1/catalog/nodes?index={platform.state.nodes_index}&wait=60s"
         watch = asyncio.create_task(call(session, platform, "GET", path))
@@ -108,14 +108,14 @@
     async with StandinPlatform() as platform, aiohttp.ClientSession() as session:
         platform.lose_answers = 1
         url = f"http://{platform.address}/v1/kv/k?cas=0"
-        # aiohttp's client would send the PUT again by itself.
+        # aiohttp's client would retry the PUT by itself.
         async with httpcore.AsyncConnectionPool() as pool:
             with pytest.raises((httpcore.NetworkError, httpcore.ProtocolError)):
                 await pool.request("PUT", url, content=b"one")
         assert (await get(session, platform, "/v1/kv/k"))[1] == b"one"
 
 
-async def test_stale_read_answers_the_value_before():
+async def test_stale_read_returns_the_previous_value():
     async with StandinPlatform() as platform, aiohttp.ClientSession() as session:
         await put(session, platform, "/v1/kv/k", b"one")
         await put(session, platform, "/v1/kv/k", b"two")
@@ -124,7 +124,7 @@
         assert (await get(session, platform, "/v1/kv/k"))[1] == b"two"
 
 
-async def test_state_outlasts_a_stop_and_watches_break_off():
+async def test_state_survives_a_restart_and_open_watches_fail():
     async with StandinPlatform() as platform, aiohttp.ClientSession() as session:
         await put(session, platform, "/v1/kv/k", b"one")
         index, _ = await get(session, platform, "/v1/kv/k")
--- a/ebonyrack/standins/replication.py
+++ b/ebonyrack/standins/replication.py
@@ -1,4 +1,4 @@
-"""Sends the log of a primary to its replicas, as msgpack frames."""
+"""Streams the log of a primary to its replicas as msgpack frames."""
 
 from __future__ import annotations
 
@@ -25,18 +25,18 @@
 HEARTBEAT_INTERVAL_S = 0.025
 CONNECT_TIMEOUT_S = 1.0
 BATCH_ENTRIES = 500
-QUEUED_FRAMES = 10_000
+MAXIMUM_QUEUED_FRAMES = 10_000
 READ_BYTES = 65536
 
 
 def pack_entry(entry: LogEntry) -> list[Any]:
-    """Turn a log entry into a msgpack value."""
+    """Encode a log entry as a msgpack value."""
     statements = [[item.sql, list(item.values)] for item in entry.statements]
     return [entry.position.term, entry.position.offset, entry.time_us, statements]
 
 
 def unpack_entry(value: list[Any]) -> LogEntry:
-    """Read a log entry from a msgpack value."""
+    """Decode a log entry from a msgpack value."""
     term, offset, time_us, statements = value
     logged = tuple(LoggedStatement(sql, tuple(values)) for sql, values in statements)
     return LogEntry(LogPosition(term, offset), time_us, logged)
@@ -67,7 +67,7 @@
 
 
 class LogSender:
-    """Sends the log to one replica for as long as this upstream is primary."""
+    """Sends the log to one replica while this upstream is primary."""
 
     __slots__ = ("upstream", "frames", "writer", "replica_name")
 
@@ -84,7 +84,7 @@
         self.replica_name = replica_name
 
     async def run(self) -> None:
-        """Find the common part of both logs, then send what follows."""
+        """Find the common prefix of both logs, then send the entries after it."""
         upstream = self.upstream
         term, ranges = await self.frames.read()
         if not upstream.can_write or upstream.term != term:
@@ -95,13 +95,13 @@
             appended = upstream.appended
             entries = upstream.log.entries[offset : offset + BATCH_ENTRIES]
             if not entries:
-                await self.wait_or_beat(appended)
+                await self.wait_or_send_heartbeat(appended)
                 continue
             await self.send(["entries", [pack_entry(entry) for entry in entries]])
             offset += len(entries)
 
-    async def wait_or_beat(self, appended: asyncio.Event) -> None:
-        """Wait for a new entry; after a while tell the replica that there is none."""
+    async def wait_or_send_heartbeat(self, appended: asyncio.Event) -> None:
+        """Wait for a new entry; send a heartbeat if none comes in time."""
         try:
             async with asyncio.timeout(HEARTBEAT_INTERVAL_S):
                 await appended.wait()
@@ -109,22 +109,22 @@
             await self.send(["heartbeat", 0])
 
     async def send(self, frame: list[Any]) -> None:
-        """Send one frame once the link to the replica lets it through."""
+        """Send one frame once the link to the replica is open."""
         await self.upstream.faults.wait_sendable(self.replica_name)
         self.writer.write(msgpack.packb(frame))
         await self.writer.drain()
 
 
 class LogFollower:
-    """Receives the log of a primary and applies it, each with its delay.
+    """Receives the log of a primary and applies it, with a delay for each step.
 
     Attributes:
         upstream: The replica.
         term: Term of the primary.
         primary: Address of the primary.
         tasks: Tasks that receive and apply.
-        arrived: Frames that arrived, with the time at which they count.
-        due: Positions received, with the time at which they are applied.
+        arrived: Frames that arrived, with the monotonic time at which they are stored.
+        due: Stored positions, with the monotonic time at which they are applied.
     """
 
     __slots__ = ("upstream", "term", "primary", "tasks", "arrived", "due")
@@ -135,43 +135,43 @@
         self.primary = primary
         self.tasks: list[asyncio.Task[None]] = []
         self.arrived: asyncio.Queue[tuple[float, list[Any]]] = asyncio.Queue(
-            QUEUED_FRAMES
+            MAXIMUM_QUEUED_FRAMES
         )
         self.due: asyncio.Queue[tuple[float, LogPosition]] = asyncio.Queue(
-            QUEUED_FRAMES
+            MAXIMUM_QUEUED_FRAMES
         )
 
     def start(self) -> None:
-        """Start to receive and to apply."""
+        """Start the tasks that receive and apply entries."""
         self.tasks = [
             asyncio.create_task(self.receive()),
-            asyncio.create_task(self.apply()),
+            asyncio.create_task(self.apply_entries()),
         ]
 
     async def stop(self) -> None:
-        """Stop both tasks; entries received stay in the log."""
+        """Stop both tasks; received entries stay in the log."""
         await end_tasks(self.tasks)
 
     async def receive(self) -> None:
-        """Connect to the primary again and again and take in its log."""
+        """Receive the primary's log, reconnecting after each lost connection."""
         while True:
             try:
-                await self.follow_once()
+                await self.receive_until_lost()
             except (OSError, TimeoutError):
                 pass
             await asyncio.sleep(RECONNECT_DELAY_S)
 
-    async def follow_once(self) -> None:
-        """Take in the primary's log over one connection, until it breaks."""
+    async def receive_until_lost(self) -> None:
+        """Receive the primary's log over one connection until it is lost."""
         peer = self.upstream.peer_names.get(self.primary, "")
         await self.upstream.faults.wait_sendable(peer)
         async with asyncio.timeout(CONNECT_TIMEOUT_S):
             reader, writer = await asyncio.open_connection(
                 self.primary.host, self.primary.port
             )
-        storing = asyncio.create_task(self.store_arrived())
+        store_task = asyncio.create_task(self.store_frames())
         try:
-            self.send_hello(writer)
+            self.send_startup(writer)
             frames = FrameReader(reader)
             while True:
                 frame = await frames.read()
@@ -179,39 +179,39 @@
                 due_s = now_s() + self.upstream.options.receive_delay_s
                 await self.arrived.put((due_s, frame))
         finally:
-            storing.cancel()
-            await asyncio.gather(storing, return_exceptions=True)
-            self.arrived = asyncio.Queue(QUEUED_FRAMES)
+            store_task.cancel()
+            await asyncio.gather(store_task, return_exceptions=True)
+            self.arrived = asyncio.Queue(MAXIMUM_QUEUED_FRAMES)
             writer.transport.abort()
 
-    def send_hello(self, writer: asyncio.StreamWriter) -> None:
-        """Say who asks for which term and what the own log holds."""
+    def send_startup(self, writer: asyncio.StreamWriter) -> None:
+        """Send this replica's name, the primary's term and the local log's ranges."""
         startup = StartupMessage(params={REPLICA_PARAMETER: self.upstream.name})
         ranges = [[run.term, run.first, run.last] for run in self.upstream.log.ranges]
         writer.write(startup.to_wire() + msgpack.packb([self.term, ranges]))
 
-    async def store_arrived(self) -> None:
-        """Put each arrived frame into the log when its time has come."""
+    async def store_frames(self) -> None:
+        """Store each arrived frame in the log once its delay is over."""
         while True:
             due_s, frame = await self.arrived.get()
             await sleep_until(due_s)
             self.upstream.last_primary_contact_s = now_s()
             kind, content = frame
             if kind == "start":
-                self.cut_log(content)
+                self.truncate_log(content)
             elif kind == "entries":
-                await self.store(content)
+                await self.store_entries(content)
 
-    async def store(self, values: list[Any]) -> None:
-        """Put entries into the log and plan when each is applied."""
+    async def store_entries(self, values: list[Any]) -> None:
+        """Append entries to the log and schedule when each is applied."""
         for value in values:
             entry = unpack_entry(value)
             self.upstream.append(entry)
             apply_s = now_s() + self.upstream.options.apply_delay_s
             await self.due.put((apply_s, entry.position))
 
-    def cut_log(self, offset: int) -> None:
-        """Drop the entries that the primary doesn't have."""
+    def truncate_log(self, offset: int) -> None:
+        """Drop entries that the primary doesn't have."""
         if offset < len(self.upstream.log.entries):
             self.upstream.rebuild(offset)
             while not self.due.empty():
@@ -219,8 +219,8 @@
         elif self.due.empty():
             self.upstream.apply_received(self.upstream.log.last)
 
-    async def apply(self) -> None:
-        """Show each received entry in reads when its time has come."""
+    async def apply_entries(self) -> None:
+        """Apply each stored entry once its delay is over."""
         while True:
             due_s, position = await self.due.get()
             await sleep_until(due_s)
--- a/ebonyrack/standins/system.py
+++ b/ebonyrack/standins/system.py
@@ -22,7 +22,7 @@
 GROUP = "scheduling-a"
 USER = "booking"
 DATA_CENTRE = "bangkok-1"
-START_LIMIT_S = 20.0
+START_TIMEOUT_S = 20.0
 SECRET_BYTES = 8
 
 SETTINGS = """
@@ -40,7 +40,7 @@
 cut_off_after_s = {cut_off_after_s}
 """
 
-APPLICATION = f"""
+APPLICATION_SECTION = f"""
 [application booking]
 owner = booking
 user = {USER}
@@ -49,8 +49,8 @@
 """
 
 
-def write_group_section(section: GroupSection) -> str:
-    """Write the INI text of a group's section.
+def format_group_section(section: GroupSection) -> str:
+    """Format a group's section of the document as INI text.
 
     Args:
         section: The section.
@@ -74,8 +74,8 @@
         platform: The platform's stand-in.
         group: The database group's stand-in.
         proxies: Running proxies by name.
-        secret: What the proxies of this system share, and no other's.
-        cut_off_after_s: Time after which a proxy that hears nobody is cut off.
+        secret: Secret shared by the proxies of this system only.
+        cut_off_after_s: Seconds without contact until a proxy is considered cut off.
         operators: The operators' sections of the document.
         overrides: Values of the group's section.
     """
@@ -92,7 +92,7 @@
         self.group = StandinGroup(data_centres=data_centres)
         self.proxies: dict[str, Proxy] = {}
         self.serve_tasks: dict[str, asyncio.Task[int]] = {}
-        # A killed proxy's port may be given to another system of the machine.
+        # Another system on this machine may be given the port of a killed proxy.
         self.secret = secrets.token_hex(SECRET_BYTES)
         self.cut_off_after_s = cut_off_after_s
         self.operators = operators
@@ -116,15 +116,15 @@
         await self.stack.aclose()
 
     def put_document(self, **overrides: Any) -> None:
-        """Put a new revision of the document into the store, without a check.
+        """Put a new revision of the document into the store without checking it.
 
         Args:
-            **overrides: Further values of the group's section.
+            **overrides: Further keys of the group's section.
         """
         self.overrides.update(overrides)
         self.revision += 1
         section = self.group.section(**self.overrides)
-        text = write_group_section(section) + APPLICATION + self.operators
+        text = format_group_section(section) + APPLICATION_SECTION + self.operators
         stored = pack_stored(StoredDocument(self.revision, text, ()))
         self.platform.state.put("ebonyrack/document", stored, None, 0)
 
@@ -147,14 +147,14 @@
             secret=self.secret,
             cut_off_after_s=self.cut_off_after_s,
         )
-        settings, faults = parse_settings(text, name)
+        settings, errors = parse_settings(text, name)
         if settings is None:
-            raise ValueError("; ".join(map(str, faults)))
+            raise ValueError("; ".join(map(str, errors)))
         proxy = Proxy(settings)
         await proxy.start()
         self.proxies[name] = proxy
         self.serve_tasks[name] = asyncio.create_task(proxy.serve())
-        async with asyncio.timeout(START_LIMIT_S):
+        async with asyncio.timeout(START_TIMEOUT_S):
             while proxy.listener.server is None:
                 await asyncio.sleep(0.01)
             while GROUP not in proxy.services.groups:
@@ -177,7 +177,7 @@
         return cut_requests
 
     async def kill_proxy(self, name: str) -> None:
-        """End a proxy at once, as a crash would.
+        """Stop a proxy abruptly, as a crash would.
 
         Args:
             name: Its name.
--- a/ebonyrack/standins/upstream.py
+++ b/ebonyrack/standins/upstream.py
@@ -29,21 +29,22 @@
 class StandinUpstream(Storage, Component):
     """A database server with terms, fencing, promotion and asynchronous replication.
 
-    What a killed upstream keeps is its log, its term and the terms it granted.
+    A killed upstream keeps its log, its term and its highest granted term.
 
     Attributes:
         name: Name of the upstream.
-        options: Sizes and delays; may be changed at any time.
-        address: Where it listens; port 0 is replaced at the first start.
+        options: Limits and delays; may be changed at any time.
+        address: Address to listen on; port 0 is replaced at the first start.
         peer_names: Name of each other upstream by address.
-        faults: Faults to inject.
-        role: Whether it accepts writes.
+        faults: Injected faults.
+        role: Primary or replica.
         term: Term in which it is primary, or term of the primary it follows.
         fenced_term: Highest term that it granted or followed.
-        leaving: Whether it says that it leaves the group.
-        last_primary_contact_s: Monotonic time at which it last heard from its primary.
-        sessions: Open sessions by process number.
-        slots: Statements that may run at the same time.
+        leaving: Whether it reports that it is leaving the group.
+        last_primary_contact_s: Monotonic time of the last frame from its primary, or
+            at which it began to follow.
+        sessions: Open sessions by process id.
+        slots: Semaphore that limits the statements running at once.
         follower: Task that receives the primary's log.
     """
 
@@ -87,7 +88,7 @@
 
     @property
     def can_write(self) -> bool:
-        """Whether it is the primary of the highest term that it knows of."""
+        """Whether it is primary and has granted no higher term."""
         return self.role is Role.PRIMARY and self.fenced_term <= self.term
 
     @property
@@ -97,7 +98,7 @@
 
     @property
     def is_full(self) -> bool:
-        """Whether all of its connections are used."""
+        """Whether all of its connections are in use."""
         return len(self.sessions) >= self.options.connection_limit
 
     async def start(self) -> None:
@@ -119,7 +120,7 @@
         task.add_done_callback(self.tasks.discard)
 
     async def kill(self) -> None:
-        """Stop at once, as a killed process does; only the log and terms stay."""
+        """Stop at once, as a killed process does; only the log and terms persist."""
         server, self.server = self.server, None
         if server is not None:
             server.close()
@@ -129,12 +130,12 @@
         await end_tasks(self.tasks)
 
     async def stop(self) -> None:
-        """End the process and forget the database."""
+        """Stop and close the database."""
         await self.kill()
         self.database.close()
 
     async def restart(self) -> None:
-        """Come back as a replica that waits for an order to follow."""
+        """Restart as a replica that waits for a follow command."""
         self.rebuild(len(self.log.entries))
         self.role = Role.REPLICA
         self.sessions.clear()
@@ -144,7 +145,7 @@
         await self.start()
 
     async def reimage(self) -> None:
-        """Come back with an empty disk: no log, no terms and no grants."""
+        """Restart with an empty disk: no log, no terms and no grants."""
         await self.kill()
         self.log.truncate(0)
         self.term = 0
@@ -152,13 +153,13 @@
         await self.restart()
 
     def cancel(self, process_id: int, secret_key: bytes) -> None:
-        """Cancel the running statement of a session, if the key is right."""
+        """Cancel the running statement of a session if the key matches."""
         session = self.sessions.get(process_id)
         if session is not None:
             session.cancel(secret_key)
 
     def read_status(self) -> UpstreamStatus:
-        """Return what a poll answers now."""
+        """Return the status that a poll reports now."""
         return UpstreamStatus(
             role=self.role,
             term=self.term,
@@ -174,7 +175,7 @@
     async def begin_write(
         self, transaction: Transaction, values: frozenset[str]
     ) -> None:
-        """Let a transaction write some values, once no other one writes them.
+        """Start a write of a transaction once it has the locks of the values.
 
         Args:
             transaction: The session's transaction.
@@ -193,7 +194,7 @@
             transaction.time_us = time.time_ns() // 1000
 
     async def fence(self, term: int) -> bool:
-        """Grant a term to a ballot, once and only if it is the highest yet.
+        """Grant a term to a ballot, once and only if it is the highest so far.
 
         Args:
             term: The term.
@@ -232,7 +233,10 @@
         if self.can_write and self.term == term:
             return self.log.last
         if term != self.fenced_term or term <= self.term:
-            raise SqlError("55000", f"term {term} is not open: {self.fenced_term}")
+            raise SqlError(
+                "55000",
+                f"cannot promote in term {term}: granted up to {self.fenced_term}",
+            )
         await self.stop_following()
         self.apply_received(self.log.last)
         self.database.prepare_for_writes()
@@ -254,7 +258,9 @@
             SqlError: If the term is too low, or this upstream is its primary.
         """
         if term < self.fenced_term or term < self.term:
-            raise SqlError("55000", f"term {term} is below {self.fenced_term}")
+            raise SqlError(
+                "55000", f"term {term} is below the granted term {self.fenced_term}"
+            )
         if primary == self.address or (self.role is Role.PRIMARY and term == self.term):
             raise SqlError("55000", f"this upstream is the primary of term {term}")
         follower = self.follower
@@ -271,7 +277,7 @@
         self.follower.start()
 
     async def stop_following(self) -> None:
-        """Take no more entries from the primary."""
+        """Stop receiving entries from the primary."""
         follower, self.follower = self.follower, None
         if follower is not None:
             await follower.stop()
