--- a/ebonyrack/standins/__init__.py
+++ b/ebonyrack/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins for a database group and the platform."""
+"""Stand-ins for database groups and the platform, used in tests and experiments."""
--- a/ebonyrack/standins/contract_functions.py
+++ b/ebonyrack/standins/contract_functions.py
@@ -1,4 +1,4 @@
-"""The SQL functions that make the stand-in a database group."""
+"""The SQL functions by which proxies monitor and control a stand-in upstream."""
 
 from __future__ import annotations
 
@@ -67,13 +67,13 @@
 
 @lru_cache(CACHED_CALLS)
 def match_call(text: str) -> tuple[str, tuple[str, ...]] | None:
-    """Find a call of one of the functions.
+    """Parse a statement that calls one of the functions.
 
     Args:
         text: PostgreSQL text of a statement.
 
     Returns:
-        Name and arguments, or None when the statement is no such call.
+        Name and arguments, or None if the statement isn't such a call.
     """
     match = CALL.match(text)
     if match is None or match.group(1).lower() not in COLUMNS:
@@ -88,25 +88,25 @@
     """Run one of the functions.
 
     Args:
-        session: Session that calls.
+        session: Session that calls the function.
         name: Name of the function.
         arguments: Arguments as text.
 
     Returns:
-        Its single row.
+        The function's single row.
 
     Raises:
-        SqlError: If the arguments don't fit or the upstream refuses.
+        SqlError: If the arguments are invalid or the upstream rejects the call.
     """
     try:
         return await FUNCTIONS.get(name)(session, arguments)
     except (ValueError, IndexError) as error:
-        raise SqlError("22023", f"bad arguments of {name}: {error}") from None
+        raise SqlError("22023", f"invalid arguments of {name}: {error}") from None
 
 
 @FUNCTIONS.register("ebonyrack_poll")
 async def poll(session: StandinSession, arguments: tuple[str, ...]) -> ResultSet:
-    """Answer the status, once reads show a position or the wait is over."""
+    """Return the status once reads see a position or the wait has timed out."""
     return await wait_and_report(session, session.upstream.applied, arguments)
 
 
@@ -114,14 +114,14 @@
 async def poll_received(
     session: StandinSession, arguments: tuple[str, ...]
 ) -> ResultSet:
-    """Answer the status, once the log holds a position or the wait is over."""
+    """Return the status once the log has reached a position or the wait times out."""
     return await wait_and_report(session, session.upstream.received, arguments)
 
 
 async def wait_and_report(
     session: StandinSession, waiters: PositionWaiters, arguments: tuple[str, ...]
 ) -> ResultSet:
-    """Wait for a position, then answer the status."""
+    """Wait for a position or until the timeout, then return the status."""
     term, offset, wait_ms = (int(argument) for argument in arguments)
     limit_s = min(wait_ms, MAXIMUM_WAIT_MS) / 1000
     if limit_s > 0:
@@ -141,7 +141,7 @@
 
 @FUNCTIONS.register("ebonyrack_fence")
 async def fence(session: StandinSession, arguments: tuple[str, ...]) -> ResultSet:
-    """Ask for the grant of a term."""
+    """Request the grant of a term."""
     upstream = session.upstream
     granted = await upstream.fence(int(arguments[0]))
     row = (int(granted), upstream.fenced_term, str(upstream.log.last))
@@ -150,14 +150,14 @@
 
 @FUNCTIONS.register("ebonyrack_promote")
 async def promote(session: StandinSession, arguments: tuple[str, ...]) -> ResultSet:
-    """Become primary in a granted term."""
+    """Promote the upstream to primary in a granted term."""
     position = await session.upstream.promote(int(arguments[0]))
     return ResultSet(RECEIVED_COLUMNS, [(str(position),)], 1)
 
 
 @FUNCTIONS.register("ebonyrack_follow")
 async def follow(session: StandinSession, arguments: tuple[str, ...]) -> ResultSet:
-    """Follow a primary."""
+    """Make the upstream a replica of a primary."""
     primary = Address(arguments[1], int(arguments[2]))
     await session.upstream.follow(int(arguments[0]), primary)
     return ResultSet(RECEIVED_COLUMNS, [(str(session.upstream.log.last),)], 1)
@@ -165,7 +165,7 @@
 
 @FUNCTIONS.register("ebonyrack_last_commit")
 async def last_commit(session: StandinSession, arguments: tuple[str, ...]) -> ResultSet:
-    """Answer the position of this connection's last committed transaction."""
+    """Return the position of the connection's last committed transaction."""
     position = session.last_commit
     text = "" if position is None else str(position)
     return ResultSet(COLUMNS["ebonyrack_last_commit"], [(text,)], 1)
@@ -173,7 +173,7 @@
 
 @FUNCTIONS.register("ebonyrack_holds")
 async def holds(session: StandinSession, arguments: tuple[str, ...]) -> ResultSet:
-    """Answer whether the log has the entry of a position."""
+    """Return whether the log contains the entry at a position."""
     upstream = session.upstream
     held = upstream.log.holds(LogPosition(int(arguments[0]), int(arguments[1])))
     row = (int(held), upstream.term, str(upstream.log.last))
@@ -184,13 +184,13 @@
 async def pg_is_in_recovery(
     session: StandinSession, arguments: tuple[str, ...]
 ) -> ResultSet:
-    """Answer whether the upstream is a replica."""
+    """Return whether the upstream is a replica."""
     is_replica = session.upstream.role is Role.REPLICA
     return ResultSet(COLUMNS["pg_is_in_recovery"], [(int(is_replica),)], 1)
 
 
 @FUNCTIONS.register("pg_sleep")
 async def pg_sleep(session: StandinSession, arguments: tuple[str, ...]) -> ResultSet:
-    """Hold an execution slot for a time."""
+    """Occupy an execution slot for a duration in seconds."""
     await session.hold_slot(float(arguments[0]))
     return ResultSet(COLUMNS["pg_sleep"], [("",)], 1)
--- a/ebonyrack/standins/datatypes.py
+++ b/ebonyrack/standins/datatypes.py
@@ -1,4 +1,4 @@
-"""PostgreSQL type numbers and the text and binary forms of values."""
+"""PostgreSQL type OIDs and the text and binary formats of values."""
 
 from __future__ import annotations
 
@@ -47,13 +47,13 @@
 
 
 def type_of_name(name: str) -> int:
-    """Return the type number for a declared type, text when unknown."""
+    """Return the OID of a declared type, that of text if unknown."""
     words = name.replace("(", " ").lower().split()
     return NAMED_TYPES.get(words[0], TEXT) if words else TEXT
 
 
 def type_of_value(value: SqlValue) -> int:
-    """Return the type number that fits a value."""
+    """Return the OID of the type that fits a value."""
     if isinstance(value, int):
         return INT8
     if isinstance(value, float):
@@ -64,29 +64,29 @@
 
 
 def decode_value(data: bytes | None, oid: int, is_binary: bool) -> SqlValue:
-    """Read a parameter.
+    """Decode a parameter value.
 
     Args:
-        data: Bytes as they arrived, or None for NULL.
-        oid: Type number, 0 when unknown.
-        is_binary: Whether the value is in binary form.
+        data: Bytes as received, or None for NULL.
+        oid: Type OID, 0 if unknown.
+        is_binary: Whether the value is in binary format.
 
     Returns:
         The value for the engine.
 
     Raises:
-        ValueError: If the bytes don't fit the type.
+        ValueError: If the bytes are invalid for the type.
     """
     if data is None:
         return None
     try:
         return decode_binary(data, oid) if is_binary else decode_text(data, oid)
     except struct.error as error:
-        raise ValueError(f"bad binary value for type {oid}: {error}") from None
+        raise ValueError(f"invalid binary value for type {oid}: {error}") from None
 
 
 def decode_text(data: bytes, oid: int) -> SqlValue:
-    """Read a parameter in text form."""
+    """Decode a parameter value in text format."""
     text = data.decode()
     if oid in INTEGER_FORMATS:
         return int(text)
@@ -100,7 +100,7 @@
 
 
 def decode_binary(data: bytes, oid: int) -> SqlValue:
-    """Read a parameter in binary form."""
+    """Decode a parameter value in binary format."""
     if oid in INTEGER_FORMATS:
         return int(struct.unpack(INTEGER_FORMATS[oid], data)[0])
     if oid == FLOAT8:
@@ -119,7 +119,7 @@
 
 
 def encode_text(value: SqlValue, oid: int) -> bytes | None:
-    """Write a result value in text form."""
+    """Encode a result value in text format."""
     if value is None:
         return None
     if oid == BOOL and isinstance(value, int):
@@ -132,7 +132,7 @@
 
 
 def encode_binary(value: SqlValue, oid: int) -> bytes | None:
-    """Write a result value in binary form.
+    """Encode a result value in binary format.
 
     Raises:
         ValueError: If the value doesn't fit the type.
--- a/ebonyrack/standins/dialect.py
+++ b/ebonyrack/standins/dialect.py
@@ -1,4 +1,4 @@
-"""Turns PostgreSQL statements into the SQL of the stand-in's engine."""
+"""Translates PostgreSQL statements to the SQL dialect of the stand-in's engine."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
     re.VERBOSE | re.IGNORECASE | re.DOTALL,
 )
 
-# Table, column names and rows.
+# Captures the table, the column names and the rows.
 INSERT = re.compile(
     r"\bINSERT\s+INTO\s+\"?(\w+)\"?\s*\(([^)]*)\)\s*VALUES\s*(.*)",
     re.IGNORECASE | re.DOTALL,
@@ -54,11 +54,11 @@
     "char": "TEXT",
 }
 REPLACED_WORDS = {"SERIAL": "INTEGER", "BIGSERIAL": "INTEGER", "ILIKE": "LIKE"}
-CASTABLE = frozenset({"parameter", "string", "number", "word", "quoted"})
+CASTABLE_TOKENS = frozenset({"parameter", "string", "number", "word", "quoted"})
 
 
 class Verb(StrEnum):
-    """What the engine does with a statement."""
+    """Kind of a statement, which determines how the stand-in executes it."""
 
     READ = "read"
     WRITE = "write"
@@ -95,15 +95,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Statement:
-    """One statement, translated.
+    """A translated statement.
 
     Attributes:
         text: PostgreSQL text.
         sql: Text for the engine.
-        verb: What to do with it.
-        tag: Command tag without counts.
-        words: Its words in upper case.
-        has_lock: Whether a locking clause makes a read take locks.
+        verb: Kind of the statement.
+        tag: Command tag without the row count.
+        words: Keywords and identifiers in upper case.
+        has_lock: Whether it has a locking clause such as FOR UPDATE.
     """
 
     text: str
@@ -116,13 +116,13 @@
 
 @lru_cache(CACHED_STATEMENTS)
 def parse_script(text: str) -> tuple[Statement, ...]:
-    """Split a text at its semicolons and translate each statement.
+    """Split a script at its semicolons and translate each statement.
 
     Args:
         text: PostgreSQL text of a simple query.
 
     Returns:
-        The statements that aren't empty.
+        The non-empty statements.
     """
     statements = []
     tokens: list[re.Match[str]] = []
@@ -151,7 +151,7 @@
 
 
 def choose_verb(words: tuple[str, ...], has_lock: bool) -> Verb:
-    """Decide what to do with a statement from its words."""
+    """Return the kind of a statement by its words."""
     if words[0] == "ROLLBACK" and "TO" in words:
         return Verb.WRITE
     if words[0] == "WITH" and not WRITING_WORDS.intersection(words):
@@ -163,7 +163,7 @@
 
 
 def build_tag(words: tuple[str, ...], verb: Verb) -> str:
-    """Build the command tag without counts."""
+    """Build the command tag without the row count."""
     first = words[0]
     if verb is Verb.READ or (first in ("SELECT", "WITH") and verb is Verb.WRITE):
         kinds = [word for word in words if word in WRITING_WORDS]
@@ -176,9 +176,9 @@
 
 
 def translate(tokens: list[re.Match[str]]) -> str:
-    """Build the engine's text of one statement."""
+    """Build the engine's SQL text of one statement."""
     parts: list[str] = []
-    last_solid = -1
+    last_index = -1
     last_kind = ""
     for token in tokens:
         kind, text = token.lastgroup or "", token.group()
@@ -186,10 +186,10 @@
             parts.append(" ")
             continue
         if kind == "cast":
-            cast_part(parts, last_solid, last_kind, text)
+            apply_cast(parts, last_index, last_kind, text)
             continue
         if kind == "now":
-            after_default = last_solid >= 0 and parts[last_solid].upper() == "DEFAULT"
+            after_default = last_index >= 0 and parts[last_index].upper() == "DEFAULT"
             text = "(now())" if after_default else "now()"
         elif kind == "parameter":
             text = "?" + text[1:]
@@ -197,24 +197,27 @@
             text = REPLACED_WORDS.get(text.upper(), text)
         parts.append(text)
         if kind != "space":
-            last_solid, last_kind = len(parts) - 1, kind
+            last_index, last_kind = len(parts) - 1, kind
     sql = "".join(parts).strip()
     return re.sub(r"(?i)^TRUNCATE(\s+TABLE)?\b", "DELETE FROM", sql)
 
 
-def cast_part(parts: list[str], index: int, kind: str, cast: str) -> None:
-    """Apply a `::type` cast to the part before it, where it matters."""
+def apply_cast(parts: list[str], index: int, kind: str, cast: str) -> None:
+    """Replace the token before a `::type` cast by a CAST to the type's affinity.
+
+    Casts to other types and of other expressions are dropped.
+    """
     match = re.match(r"::\s*(\w+)", cast)
     affinity = AFFINITIES.get(match.group(1).lower()) if match else None
-    if affinity is not None and index >= 0 and kind in CASTABLE:
+    if affinity is not None and index >= 0 and kind in CASTABLE_TOKENS:
         parts[index] = f"CAST({parts[index]} AS {affinity})"
 
 
 def read_column_names(text: str) -> list[str]:
-    """Read the column names of an INSERT."""
+    """Parse the column names of an INSERT."""
     return [name.strip().strip('"') for name in text.split(",")]
 
 
 def read_variable_name(statement: Statement) -> str:
-    """Read the name of the setting that a SHOW asks for."""
+    """Return the name of the setting that a SHOW statement reads."""
     return statement.text.split(None, 1)[1].strip().lower()
--- a/ebonyrack/standins/execution.py
+++ b/ebonyrack/standins/execution.py
@@ -1,4 +1,4 @@
-"""Runs the statements of one session in its transaction."""
+"""Execution of a session's statements in its transaction."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from ebonyrack.standins.dialect import Statement
 from ebonyrack.standins.dialect import Verb
 from ebonyrack.standins.dialect import read_variable_name
-from ebonyrack.standins.locks import find_claims
+from ebonyrack.standins.locks import find_lock_keys
 from ebonyrack.standins.log import LoggedStatement
 from ebonyrack.standins.log import SqlValue
 from ebonyrack.standins.result_set import ResultSet
@@ -28,16 +28,16 @@
     r"^\s*SET\s+(?:SESSION\s+|LOCAL\s+)?([\w.]+)\s*(?:=|\bTO\b)\s*'?([^']*?)'?\s*$",
     re.IGNORECASE,
 )
-COUNTED = frozenset({"SELECT", "UPDATE", "DELETE"})
+COUNTED_TAGS = frozenset({"SELECT", "UPDATE", "DELETE"})
 
 
 class AnswerLostError(Exception):
-    """The connection breaks after a commit took effect."""
+    """Raised to break the connection after a commit instead of sending its reply."""
 
 
 @dataclass(slots=True)
 class Outcome:
-    """What one statement answers: its rows and its command tag."""
+    """Result set and command tag of a statement."""
 
     result: ResultSet
     tag: str
@@ -46,27 +46,28 @@
 async def execute(
     session: StandinSession, statement: Statement, values: tuple[SqlValue, ...]
 ) -> Outcome:
-    """Run one statement.
+    """Execute one statement.
 
     Args:
-        session: The session, with its transaction.
+        session: The session.
         statement: The statement.
-        values: Parameters.
+        values: Parameter values.
 
     Returns:
-        Rows and command tag.
+        Result set and command tag.
 
     Raises:
-        SqlError: If it fails; the transaction is marked as failed.
+        SqlError: If it fails; an explicit transaction is then marked as failed and an
+            implicit one rolled back.
     """
     session.is_executing = True
     try:
-        return await execute_checked(session, statement, values)
+        return await dispatch_statement(session, statement, values)
     except asyncio.CancelledError:
-        if not session.take_cancel():
+        if not session.consume_cancellation():
             raise
         fail_transaction(session)
-        raise SqlError("57014", "cancelled at the caller's request") from None
+        raise SqlError("57014", "canceling statement due to user request") from None
     except SqlError:
         fail_transaction(session)
         raise
@@ -74,10 +75,10 @@
         session.is_executing = False
 
 
-async def execute_checked(
+async def dispatch_statement(
     session: StandinSession, statement: Statement, values: tuple[SqlValue, ...]
 ) -> Outcome:
-    """Check the transaction's state, then run the statement by its verb."""
+    """Check the transaction's state, then run the statement by its kind."""
     transaction = session.transaction
     check_not_terminated(transaction)
     if statement.verb is Verb.COMMIT:
@@ -86,7 +87,7 @@
         return end_transaction(session, wants_commit=False)
     returns_to_savepoint = statement.tag == "ROLLBACK"
     if transaction is not None and transaction.is_failed and not returns_to_savepoint:
-        raise SqlError("25P02", "the transaction is aborted")
+        raise SqlError("25P02", "current transaction is aborted")
     if statement.verb is Verb.BEGIN:
         return begin_transaction(session, statement)
     if statement.verb is Verb.SHOW:
@@ -102,13 +103,17 @@
 
 
 def check_not_terminated(transaction: Transaction | None) -> None:
-    """End the session if its transaction was rolled back for a higher term."""
+    """Raise a fatal error if the transaction was rolled back for a higher term.
+
+    Raises:
+        SqlError: If it was (57P01).
+    """
     if transaction is not None and transaction.is_terminated:
         raise SqlError("57P01", "the upstream is no longer primary", fatal=True)
 
 
 def fail_transaction(session: StandinSession) -> None:
-    """Mark an explicit transaction as failed; an implicit one is rolled back."""
+    """Mark an explicit transaction as failed, or roll an implicit one back."""
     transaction = session.transaction
     if transaction is None:
         return
@@ -120,7 +125,7 @@
 
 
 def begin_transaction(session: StandinSession, statement: Statement) -> Outcome:
-    """Open an explicit transaction."""
+    """Begin an explicit transaction, or make the open implicit one explicit."""
     is_read_only = "ONLY" in statement.words
     if session.transaction is None:
         session.transaction = Transaction(True, is_read_only)
@@ -130,7 +135,7 @@
 
 
 def end_transaction(session: StandinSession, wants_commit: bool) -> Outcome:
-    """End the open transaction, if there is one."""
+    """Commit or roll back the open transaction, if there is one."""
     transaction, session.transaction = session.transaction, None
     if transaction is None:
         return Outcome(ResultSet(), "COMMIT" if wants_commit else "ROLLBACK")
@@ -142,10 +147,10 @@
 
 
 def commit_transaction(session: StandinSession, transaction: Transaction) -> None:
-    """Commit a transaction and lose the answer if that fault is set.
+    """Commit a transaction, and lose its reply if this fault is injected.
 
     Raises:
-        AnswerLostError: If the answer of this commit is to be lost.
+        AnswerLostError: If the reply to this commit must be lost.
     """
     if not transaction.is_writing:
         return
@@ -155,8 +160,8 @@
         raise AnswerLostError
 
 
-def end_implicit(session: StandinSession) -> None:
-    """Commit the implicit transaction at the end of a query or at a Sync."""
+def commit_implicit_transaction(session: StandinSession) -> None:
+    """Commit the implicit transaction at the end of a simple query or at a Sync."""
     transaction = session.transaction
     if transaction is None or transaction.is_explicit:
         return
@@ -165,7 +170,7 @@
 
 
 def show_variable(session: StandinSession, statement: Statement) -> Outcome:
-    """Answer the value of a setting."""
+    """Return the value of a setting."""
     name = read_variable_name(statement)
     value = session.parameters.get(name, "")
     if name == "transaction_read_only":
@@ -175,7 +180,7 @@
 
 
 def run_utility(session: StandinSession, statement: Statement) -> Outcome:
-    """Run a statement about the session itself."""
+    """Run a statement that changes the session's state, such as SET or DISCARD."""
     match = SET_VARIABLE.match(statement.text)
     if match is not None:
         session.set_parameter(match.group(1), match.group(2))
@@ -192,28 +197,30 @@
 async def run_read(
     session: StandinSession, statement: Statement, values: tuple[SqlValue, ...]
 ) -> Outcome:
-    """Run a reading statement."""
+    """Run a read statement."""
     await session.hold_slot(0.0)
     transaction = session.transaction
     check_not_terminated(transaction)
-    writing = transaction if transaction and transaction.is_writing else None
-    result = session.upstream.database.read(statement.sql, values, writing)
+    write_transaction = transaction if transaction and transaction.is_writing else None
+    result = session.upstream.database.read(statement.sql, values, write_transaction)
     return Outcome(result, build_tag(statement, result))
 
 
 async def run_write(
     session: StandinSession, statement: Statement, values: tuple[SqlValue, ...]
 ) -> Outcome:
-    """Run a writing statement, in an implicit transaction if none is open."""
+    """Run a write statement, in an implicit transaction if none is open."""
     upstream = session.upstream
     if session.transaction is None:
         session.transaction = Transaction(is_explicit=False)
     transaction = session.transaction
     if transaction.is_read_only:
-        raise SqlError("25006", f"cannot run {statement.tag}: read-only transaction")
+        raise SqlError(
+            "25006", f"cannot execute {statement.tag} in a read-only transaction"
+        )
     unique = upstream.database.schema.find_unique_columns()
-    claims = find_claims(statement.text, values, unique)
-    await upstream.begin_write(transaction, claims)
+    lock_keys = find_lock_keys(statement.text, values, unique)
+    await upstream.begin_write(transaction, lock_keys)
     await session.hold_slot(0.0)
     check_not_terminated(transaction)
     logged = LoggedStatement(statement.sql, values)
@@ -224,9 +231,9 @@
 
 
 def build_tag(statement: Statement, result: ResultSet) -> str:
-    """Build the command tag with its count."""
+    """Build the command tag with its row count."""
     if statement.tag == "INSERT":
         return f"INSERT 0 {result.count}"
-    if statement.tag in COUNTED:
+    if statement.tag in COUNTED_TAGS:
         return f"{statement.tag} {result.count}"
     return statement.tag
--- a/ebonyrack/standins/extended_query.py
+++ b/ebonyrack/standins/extended_query.py
@@ -1,4 +1,4 @@
-"""Prepared statements and portals of a session."""
+"""The extended query protocol of a session: prepared statements and portals."""
 
 from __future__ import annotations
 
@@ -31,9 +31,12 @@
 
 @dataclass(slots=True)
 class PreparedStatement:
-    """A statement that Parse created; `statement` is None for an empty text.
+    """A prepared statement.
 
-    `column_names` are those of its result when it was bound first, else None.
+    Attributes:
+        statement: The translated statement; None for an empty query text.
+        parameter_oids: Type OIDs of the parameters.
+        column_names: Names of the result columns at the first Bind; None before.
     """
 
     statement: Statement | None
@@ -46,11 +49,11 @@
     """A bound statement.
 
     Attributes:
-        prepared: What it runs.
-        values: Parameters.
-        formats: Result formats as the Bind message gave them.
-        outcome: What it answered, once it ran.
-        sent: Rows sent so far.
+        prepared: Its prepared statement.
+        values: Parameter values.
+        formats: Result format codes of the Bind message.
+        outcome: Its outcome, once it has been executed.
+        sent: Number of rows sent so far.
     """
 
     prepared: PreparedStatement
@@ -68,7 +71,7 @@
         session: The session.
         statements: Prepared statements by name.
         portals: Portals by name.
-        is_skipping: Whether messages are skipped until the next Sync.
+        is_skipping: Whether messages are skipped until the next Sync after an error.
     """
 
     session: StandinSession
@@ -90,7 +93,7 @@
             self.session.send_error(error)
 
     async def dispatch(self, message: messages.PGMessage) -> None:
-        """Run the step that the message asks for."""
+        """Process a message by its type."""
         match message:
             case messages.Parse():
                 self.parse(message)
@@ -107,21 +110,33 @@
         """Create a prepared statement."""
         script = parse_script(message.query)
         if len(script) > 1:
-            raise SqlError("42601", "a prepared statement holds one command only")
-        known = self.session.upstream.database.schema.find_column_oids()
-        oids = find_parameter_types(message.query, list(message.param_types), known)
+            raise SqlError(
+                "42601", "cannot insert multiple commands into a prepared statement"
+            )
+        column_oids = self.session.upstream.database.schema.find_column_oids()
+        oids = find_parameter_types(
+            message.query, list(message.param_types), column_oids
+        )
         statement = script[0] if script else None
         self.statements[message.statement] = PreparedStatement(statement, oids)
         self.session.send(messages.ParseComplete())
 
     def find_statement(self, name: str) -> PreparedStatement:
-        """Return a prepared statement or fail as PostgreSQL does."""
+        """Return a prepared statement.
+
+        Raises:
+            SqlError: If there is none of this name (26000).
+        """
         if name not in self.statements:
             raise SqlError("26000", f"prepared statement {name!r} does not exist")
         return self.statements[name]
 
     def find_portal(self, name: str) -> Portal:
-        """Return a portal or fail as PostgreSQL does."""
+        """Return a portal.
+
+        Raises:
+            SqlError: If there is none of this name (34000).
+        """
         if name not in self.portals:
             raise SqlError("34000", f"portal {name!r} does not exist")
         return self.portals[name]
@@ -132,8 +147,8 @@
         if len(message.param_values) != len(prepared.parameter_oids):
             raise SqlError(
                 "08P01",
-                f"{len(message.param_values)} parameters given,"
-                f" {len(prepared.parameter_oids)} needed",
+                f"bind message supplies {len(message.param_values)} parameters, but"
+                f" {len(prepared.parameter_oids)} are required",
             )
         self.check_result_unchanged(prepared)
         values = tuple(
@@ -150,10 +165,10 @@
         self.session.send(messages.BindComplete())
 
     def check_result_unchanged(self, prepared: PreparedStatement) -> None:
-        """Refuse a statement whose result columns have changed, as PostgreSQL does.
+        """Reject a statement whose result columns have changed, as PostgreSQL does.
 
         Raises:
-            SqlError: 0A000.
+            SqlError: If the result columns have changed (0A000).
         """
         names = [column.name for column in self.find_columns(prepared)]
         if prepared.column_names is None:
@@ -172,7 +187,7 @@
             prepared, formats = portal.prepared, portal.formats
         columns = self.find_columns(prepared)
         if columns:
-            self.session.out += encode_row_description(columns, formats)
+            self.session.send_buffer += encode_row_description(columns, formats)
         else:
             self.session.send(messages.NoData())
 
@@ -192,7 +207,7 @@
         return self.session.upstream.database.schema.describe(statement.sql, is_write)
 
     async def execute(self, message: messages.Execute) -> None:
-        """Run a portal, or send its next rows."""
+        """Execute a portal, or send its next rows."""
         portal = self.find_portal(message.portal)
         statement = portal.prepared.statement
         if statement is None:
@@ -207,7 +222,7 @@
         columns = outcome.result.columns
         if any(portal.formats):
             columns = self.find_columns(portal.prepared)
-        self.session.out += encode_rows(rows, columns, portal.formats)
+        self.session.send_buffer += encode_rows(rows, columns, portal.formats)
         portal.sent += len(rows)
         if portal.sent < len(outcome.result.rows):
             self.session.send(messages.PortalSuspended())
@@ -223,14 +238,14 @@
         self.session.send(messages.CloseComplete())
 
     def end_batch(self) -> None:
-        """Take messages again after a Sync."""
+        """Accept messages again after a Sync; portals end with their transaction."""
         self.is_skipping = False
         if self.session.transaction is None:
             self.portals.clear()
 
 
 def pick_format(formats: Sequence[int], index: int) -> int:
-    """Return the format of a value from a list that may be short."""
+    """Return the format code of a value; a list of one code applies to all values."""
     if not formats:
         return 0
     return formats[index] if len(formats) > 1 else formats[0]
--- a/ebonyrack/standins/locks.py
+++ b/ebonyrack/standins/locks.py
@@ -1,4 +1,4 @@
-"""Locks that keep open write transactions apart."""
+"""Locks that serialize concurrent writes to the same rows."""
 
 from __future__ import annotations
 
@@ -14,26 +14,27 @@
 from ebonyrack.standins.sql_error import SqlError
 from ebonyrack.standins.transaction import Transaction
 
-WAIT_LIMIT_S = 5.0
+LOCK_TIMEOUT_S = 5.0
 
 VALUE = r"'(?:[^']|'')*'|\$\d+|-?\d+"
 TABLE = re.compile(r"\b(?:UPDATE|FROM)\s+\"?(\w+)\"?", re.IGNORECASE)
 WHERE = re.compile(r"\bWHERE\b(.*)", re.IGNORECASE | re.DOTALL)
 EQUAL = re.compile(rf"\"?(\w+)\"?\s*=\s*({VALUE})")
-# The boundary keeps the search through a long literal linear.
+# Without the word boundary, the search in a long literal takes quadratic time.
 EMPTY_CALL = re.compile(r"\b\w+\(\s*\)")
 AFTER_ROWS = re.compile(r"\b(?:ON\s+CONFLICT|RETURNING)\b", re.IGNORECASE)
 
 
 class LockTable:
-    """Lets one open transaction at a time write a value.
+    """Exclusive locks on lock keys, held until the end of a transaction.
 
-    Rows aren't known before a statement runs, so the values by which it names them
-    stand for them: two transactions that write the same key wait for each other.
+    The affected rows aren't known before a statement runs. Therefore the column values
+    that identify them are locked: of two transactions that write the same key, the
+    second waits for the first.
 
     Attributes:
-        holders: Transaction that holds each value.
-        released: Set and replaced whenever values come free.
+        holders: Transaction that holds each lock key.
+        released: Set and replaced whenever lock keys are released.
     """
 
     __slots__ = ("holders", "released")
@@ -42,57 +43,57 @@
         self.holders: dict[str, Transaction] = {}
         self.released = asyncio.Event()
 
-    def is_free(self, values: Iterable[str], transaction: Transaction) -> bool:
-        """Return whether no other transaction holds one of the values."""
-        return all(
-            self.holders.get(value, transaction) is transaction for value in values
-        )
+    def is_free(self, keys: Iterable[str], transaction: Transaction) -> bool:
+        """Return whether no other transaction holds any of the lock keys."""
+        return all(self.holders.get(key, transaction) is transaction for key in keys)
 
-    async def acquire(self, values: frozenset[str], transaction: Transaction) -> None:
-        """Wait until the values are free and hold them.
+    async def acquire(self, keys: frozenset[str], transaction: Transaction) -> None:
+        """Wait until all lock keys are free, then acquire them.
 
         Args:
-            values: The values.
-            transaction: Who holds them from then on.
+            keys: The lock keys.
+            transaction: Transaction that acquires them.
 
         Raises:
-            SqlError: If they don't come free within the limit (40P01).
+            SqlError: If they aren't free within the timeout (40P01).
         """
         try:
-            async with asyncio.timeout(WAIT_LIMIT_S):
-                while not self.is_free(values, transaction):
+            async with asyncio.timeout(LOCK_TIMEOUT_S):
+                while not self.is_free(keys, transaction):
                     await self.released.wait()
         except TimeoutError:
-            raise SqlError("40P01", "waited too long for another writer") from None
-        transaction.claims |= values
-        self.holders.update(dict.fromkeys(values, transaction))
+            raise SqlError(
+                "40P01", "timed out waiting for a lock of another transaction"
+            ) from None
+        transaction.lock_keys |= keys
+        self.holders.update(dict.fromkeys(keys, transaction))
 
     def release(self, transaction: Transaction) -> None:
-        """Let go what a transaction holds."""
-        for value in transaction.claims:
-            del self.holders[value]
-        transaction.claims.clear()
+        """Release all lock keys of a transaction."""
+        for key in transaction.lock_keys:
+            del self.holders[key]
+        transaction.lock_keys.clear()
         self.released.set()
         self.released = asyncio.Event()
 
 
-def find_claims(
+def find_lock_keys(
     text: str, values: tuple[SqlValue, ...], unique_columns: dict[str, set[str]]
 ) -> frozenset[str]:
-    """Find the values by which a writing statement names its rows.
+    """Find the lock keys of a write statement.
 
     Args:
         text: PostgreSQL text of the statement.
-        values: Parameters.
-        unique_columns: Columns of each table that a unique index names.
+        values: Parameter values.
+        unique_columns: Columns of each table that are in a unique index.
 
     Returns:
-        `table.column=value` for each unique column that an INSERT sets, and for
-        each comparison in the WHERE of another statement.
+        `table.column=value` for each unique column that an INSERT sets, and for each
+        equality comparison in the WHERE clause of another statement.
     """
     insert = INSERT.search(text)
     if insert is not None:
-        return frozenset(find_inserted(insert, values, unique_columns))
+        return frozenset(find_insert_keys(insert, values, unique_columns))
     table, where = TABLE.search(text), WHERE.search(text)
     if table is None or where is None:
         return frozenset()
@@ -102,12 +103,12 @@
     )
 
 
-def find_inserted(
+def find_insert_keys(
     insert: re.Match[str],
     values: tuple[SqlValue, ...],
     unique_columns: dict[str, set[str]],
 ) -> Iterator[str]:
-    """Yield the claims of an INSERT."""
+    """Yield the lock keys of an INSERT."""
     table, names, rows = insert.groups()
     unique = unique_columns.get(table, set())
     columns = read_column_names(names)
@@ -119,7 +120,7 @@
 
 
 def read_value(text: str, values: tuple[SqlValue, ...]) -> str:
-    """Return a literal without its quotes, or the parameter that is named."""
+    """Return a literal without its quotes, or the value of a parameter."""
     if text.startswith("$") and 0 < int(text[1:]) <= len(values):
         return str(values[int(text[1:]) - 1])
     return text.strip("'")
--- a/ebonyrack/standins/locks_test.py
+++ b/ebonyrack/standins/locks_test.py
@@ -1,12 +1,12 @@
 import pytest
 
-from ebonyrack.standins.locks import find_claims
+from ebonyrack.standins.locks import find_lock_keys
 
 UNIQUE = {"requests": {"key"}, "bookings": {"request"}}
 
 
 @pytest.mark.parametrize(
-    "text, values, claims",
+    "text, values, lock_keys",
     [
         (
             "INSERT INTO requests (key, outcome, at) VALUES ('k', '', now())"
@@ -30,13 +30,15 @@
         ("CREATE TABLE t (key TEXT)", (), set()),
     ],
 )
-def test_rows_are_named_by_unique_and_compared_values(text, values, claims):
-    assert find_claims(text, values, UNIQUE) == claims
+def test_lock_keys_are_inserted_unique_values_and_compared_values(
+    text, values, lock_keys
+):
+    assert find_lock_keys(text, values, UNIQUE) == lock_keys
 
 
-def test_claims_of_a_long_literal_are_found_in_linear_time():
+def test_lock_keys_of_a_long_literal_are_found_in_linear_time():
     long = "0" * 2_000_000
     text = f"INSERT INTO bookings (slot, request) VALUES (now(), '{long}')"
-    assert find_claims(text, (), {"bookings": {"request"}}) == {
+    assert find_lock_keys(text, (), {"bookings": {"request"}}) == {
         f"bookings.request={long}"
     }
--- a/ebonyrack/standins/log.py
+++ b/ebonyrack/standins/log.py
@@ -13,7 +13,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LoggedStatement:
-    """One writing statement as it ran, in the engine's own SQL."""
+    """An executed write statement in the SQL dialect of the engine."""
 
     sql: str
     values: tuple[SqlValue, ...]
@@ -21,12 +21,12 @@
 
 @dataclass(frozen=True, slots=True)
 class LogEntry:
-    """One committed transaction, or the start of a term if it has no statements.
+    """A committed transaction, or the start of a term if it has no statements.
 
     Attributes:
         position: Term and offset of the entry.
-        time_us: Wall time at the start of the transaction, in microseconds.
-        statements: Writing statements in their order.
+        time_us: Unix time of the transaction's first write, in microseconds.
+        statements: Write statements in the order of their execution.
     """
 
     position: LogPosition
@@ -36,7 +36,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TermRange:
-    """The run of entries that one term wrote."""
+    """The offsets of the first and the last entry of one term."""
 
     term: int
     first: int
@@ -44,11 +44,11 @@
 
 
 class TransactionLog:
-    """Entries in order; it stands for what an upstream keeps on its disk.
+    """Entries in order of offset; it represents an upstream's persistent log.
 
     Attributes:
         entries: Entry of offset N at index N - 1.
-        ranges: Runs of entries with the same term.
+        ranges: Range of each term in the log, in order.
     """
 
     __slots__ = ("entries", "ranges")
@@ -63,16 +63,17 @@
         return self.entries[-1].position if self.entries else LOG_START
 
     def holds(self, position: LogPosition) -> bool:
-        """Return whether the entry at an offset has exactly this term."""
+        """Return whether the log contains the entry at a position."""
         if not 1 <= position.offset <= len(self.entries):
             return False
         return self.entries[position.offset - 1].position == position
 
     def append(self, entry: LogEntry) -> None:
-        """Add the next entry.
+        """Append an entry.
 
         Raises:
-            ValueError: If the entry doesn't come right after the last.
+            ValueError: If its offset isn't the next one or its term is lower than the
+                last.
         """
         term, offset = entry.position.term, entry.position.offset
         if offset != len(self.entries) + 1 or term < self.last.term:
@@ -84,9 +85,9 @@
             self.ranges.append(TermRange(term, offset, offset))
 
     def truncate(self, offset: int) -> None:
-        """Drop every entry after an offset."""
+        """Remove all entries after an offset."""
         del self.entries[offset:]
-        kept = [run for run in self.ranges if run.first <= offset]
+        kept = [term_range for term_range in self.ranges if term_range.first <= offset]
         if kept:
             kept[-1] = TermRange(
                 kept[-1].term, kept[-1].first, min(kept[-1].last, offset)
@@ -94,28 +95,28 @@
         self.ranges = kept
 
     def find_common_offset(self, others: list[TermRange]) -> int:
-        """Return up to which offset this log and another hold the same entries.
+        """Return the last offset up to which this log equals another.
 
-        A term has one writer that only appends, so the same term at the same
+        A term has a single writer that only appends, so the same term at the same
         offset means the same entry and the same entries before it.
 
         Args:
-            others: Runs of the other log.
+            others: Term ranges of the other log.
         """
-        own = {run.term: run for run in self.ranges}
-        for run in reversed(others):
-            match = own.get(run.term)
-            if match is not None and match.first == run.first:
-                return min(match.last, run.last)
+        local_ranges = {term_range.term: term_range for term_range in self.ranges}
+        for term_range in reversed(others):
+            match = local_ranges.get(term_range.term)
+            if match is not None and match.first == term_range.first:
+                return min(match.last, term_range.last)
         return 0
 
 
 class PositionWaiters:
-    """Waits for a position that only grows, except when a log is cut back.
+    """Waits for a log position, which decreases only when the log is truncated.
 
     Attributes:
-        reached: The present position.
-        waiting: Positions waited for, with the future to resolve.
+        reached: The current position.
+        waiting: Each awaited position with the future to resolve.
     """
 
     __slots__ = ("reached", "waiting")
@@ -125,7 +126,7 @@
         self.waiting: list[tuple[LogPosition, asyncio.Future[None]]] = []
 
     def advance(self, position: LogPosition) -> None:
-        """Set the present position and wake the waits that it satisfies."""
+        """Set the current position and wake the waits that it satisfies."""
         self.reached = position
         if not self.waiting:
             return
@@ -140,14 +141,14 @@
         self.waiting = remaining
 
     async def wait_for(self, position: LogPosition, limit_s: float) -> bool:
-        """Wait until a position is reached, at most for a time.
+        """Wait until a position is reached or the time is over.
 
         Args:
             position: Position to wait for.
-            limit_s: Longest wait, in seconds.
+            limit_s: Maximum wait in seconds.
 
         Returns:
-            Whether it was reached.
+            Whether the position was reached.
         """
         if self.reached >= position:
             return True
--- a/ebonyrack/standins/log_test.py
+++ b/ebonyrack/standins/log_test.py
@@ -20,7 +20,7 @@
 
 @st.composite
 def histories(draw):
-    """Logs of three upstreams after some terms, each with one writer."""
+    """Generate the logs of three upstreams after some terms, each with one writer."""
     logs = [TransactionLog() for _ in range(3)]
     for term in range(1, draw(st.integers(1, 6)) + 1):
         writer = draw(st.integers(0, 2))
@@ -28,14 +28,14 @@
             append(logs[writer], term)
         for index in {0, 1, 2} - {writer}:
             if draw(st.booleans()):
-                # A follower takes the writer's log up to some place.
+                # A replica copies the writer's log up to some offset.
                 end = draw(st.integers(0, len(logs[writer].entries)))
                 logs[index] = copy(logs[writer], end)
     return logs
 
 
 @given(histories())
-def test_common_offset_is_the_longest_common_part(logs):
+def test_common_offset_is_the_length_of_the_common_prefix(logs):
     for one in logs:
         for other in logs:
             pairs = zip(one.entries, other.entries, strict=False)
@@ -48,7 +48,7 @@
 
 
 @given(histories(), st.integers(0, 20))
-def test_truncated_log_is_as_if_the_rest_was_never_written(logs, offset):
+def test_truncated_log_equals_a_log_without_the_removed_entries(logs, offset):
     for log in logs:
         expected = copy(log, offset)
         log.truncate(offset)
@@ -56,7 +56,7 @@
         assert log.holds(log.last) == bool(log.entries)
 
 
-def test_entries_come_in_order_and_never_of_a_lower_term():
+def test_append_rejects_lower_terms_and_offset_gaps():
     log = TransactionLog()
     append(log, 2)
     with pytest.raises(ValueError):
--- a/ebonyrack/standins/options.py
+++ b/ebonyrack/standins/options.py
@@ -1,4 +1,4 @@
-"""Sizes and delays of a stand-in upstream."""
+"""Options of a stand-in upstream."""
 
 from __future__ import annotations
 
@@ -7,19 +7,19 @@
 
 @dataclass(slots=True)
 class UpstreamOptions:
-    """What one stand-in upstream can carry and how slow it is.
+    """Capacity, delays and authentication of a stand-in upstream.
 
     Attributes:
-        connection_limit: Connections accepted in all; more are refused with 53300.
-        slots: Statements that run at the same time.
+        connection_limit: Maximum number of connections; more are rejected with 53300.
+        slots: Maximum number of statements that run concurrently.
         connection_cost_s: Time that opening a connection takes, in seconds.
-        statement_cost_s: Time for which a statement holds a slot, in seconds.
-        receive_delay_s: Age that an entry has when a replica has received it.
-        apply_delay_s: Time from receiving an entry to showing it in reads.
-        link_delay_s: One-way delay between this upstream and the proxies.
-        user: User that may connect, or an empty string for anyone.
-        administrator: User that is let in when the connections are used up.
-        password: Clear-text password asked for, or an empty string for none.
+        statement_cost_s: Time for which a statement occupies a slot, in seconds.
+        receive_delay_s: Delay with which a replica receives entries, in seconds.
+        apply_delay_s: Time from receiving an entry to applying it, in seconds.
+        link_delay_s: One-way delay between this upstream and the proxies, in seconds.
+        user: User that may connect, or an empty string for any.
+        administrator: User that may connect beyond the connection limit.
+        password: Required cleartext password, or an empty string for none.
     """
 
     connection_limit: int = 100
--- a/ebonyrack/standins/parameter_types.py
+++ b/ebonyrack/standins/parameter_types.py
@@ -1,4 +1,4 @@
-"""Finds the types of a statement's parameters, as Describe must answer them."""
+"""Infers the types of a statement's parameters for the reply to Describe."""
 
 from __future__ import annotations
 
@@ -11,24 +11,24 @@
 
 CAST = re.compile(r"\$(\d+)\s*::\s*(\w+)")
 COMPARISON = re.compile(r"\"?(\w+)\"?\s*(?:=|<>|!=|<=|>=|<|>)\s*\$(\d+)")
-REVERSED = re.compile(r"\$(\d+)\s*(?:=|<>|!=|<=|>=|<|>)\s*\"?(\w+)\"?")
+REVERSED_COMPARISON = re.compile(r"\$(\d+)\s*(?:=|<>|!=|<=|>=|<|>)\s*\"?(\w+)\"?")
 LIMIT = re.compile(r"\b(?:LIMIT|OFFSET)\s+\$(\d+)", re.IGNORECASE)
-SUM = re.compile(r"[-+*]\s*\$(\d+)")
+ARITHMETIC = re.compile(r"[-+*]\s*\$(\d+)")
 PARAMETER = re.compile(r"\$(\d+)")
 
 
 def find_parameter_types(
-    text: str, given: list[int], column_oids: dict[str, int]
+    text: str, declared_oids: list[int], column_oids: dict[str, int]
 ) -> list[int]:
-    """Find the type number of each parameter.
+    """Infer the type OID of each parameter.
 
     Args:
         text: PostgreSQL text of the statement.
-        given: Type numbers from the Parse message, 0 when unspecified.
-        column_oids: Type of each column name.
+        declared_oids: Type OIDs of the Parse message, 0 if unspecified.
+        column_oids: Type OID of each column name.
 
     Returns:
-        Type numbers, text where nothing tells.
+        Type OIDs; that of text if the type can't be inferred.
     """
     count = max([int(number) for number in PARAMETER.findall(text)], default=0)
     found: dict[int, int] = {}
@@ -40,14 +40,14 @@
     for name, number in COMPARISON.findall(text):
         if name in column_oids:
             found.setdefault(int(number), column_oids[name])
-    for number, name in REVERSED.findall(text):
+    for number, name in REVERSED_COMPARISON.findall(text):
         if name in column_oids:
             found.setdefault(int(number), column_oids[name])
-    for number in SUM.findall(text):
+    for number in ARITHMETIC.findall(text):
         found.setdefault(int(number), datatypes.INT8)
     types = []
-    for number in range(1, max(count, len(given)) + 1):
-        oid = given[number - 1] if number <= len(given) else 0
+    for number in range(1, max(count, len(declared_oids)) + 1):
+        oid = declared_oids[number - 1] if number <= len(declared_oids) else 0
         types.append(oid or found.get(number, datatypes.TEXT))
     return types
 
@@ -55,7 +55,7 @@
 def add_insert_types(
     text: str, column_oids: dict[str, int], found: dict[int, int]
 ) -> None:
-    """Match the columns of an INSERT with the parameters of its VALUES."""
+    """Add the types of parameters in the VALUES of an INSERT by their columns."""
     match = INSERT.search(text)
     if match is None:
         return
--- a/ebonyrack/standins/result_set.py
+++ b/ebonyrack/standins/result_set.py
@@ -1,4 +1,4 @@
-"""What a statement answers."""
+"""The result of a statement."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 
 @dataclass(slots=True)
 class ResultSet:
-    """What a statement answers.
+    """The result of a statement.
 
     Attributes:
-        columns: Result columns; empty when it returns no rows.
+        columns: Result columns; empty if the statement returns no rows.
         rows: Result rows.
-        count: Rows changed or returned.
+        count: Number of rows changed or returned.
     """
 
     columns: list[Column] = field(default_factory=list)
--- a/ebonyrack/standins/rows.py
+++ b/ebonyrack/standins/rows.py
@@ -1,4 +1,4 @@
-"""Encodes result rows."""
+"""Encoding of result rows as protocol messages."""
 
 from __future__ import annotations
 
@@ -14,21 +14,21 @@
 
 
 def expand_formats(formats: Sequence[int], count: int) -> list[int]:
-    """Return one format for each value from a list that may be short."""
+    """Return a format code for each value; a single code applies to all."""
     if len(formats) == count:
         return list(formats)
     return [formats[0] if formats else 0] * count
 
 
 def encode_row_description(columns: list[Column], formats: Sequence[int] = ()) -> bytes:
-    """Encode the description of the rows that follow.
+    """Encode a RowDescription message.
 
     Args:
         columns: The columns.
-        formats: 0 for text and 1 for binary, for all or for each column.
+        formats: Format codes, 0 for text and 1 for binary, for all or each column.
 
     Returns:
-        The message's bytes.
+        The bytes of the message.
     """
     fields = [
         FieldDescription(
@@ -50,15 +50,15 @@
     columns: list[Column],
     formats: Sequence[int] = (),
 ) -> bytes:
-    """Encode rows.
+    """Encode a DataRow message for each row.
 
     Args:
         rows: The rows.
         columns: Their columns.
-        formats: 0 for text and 1 for binary, for all or for each column.
+        formats: Format codes, 0 for text and 1 for binary, for all or each column.
 
     Returns:
-        The bytes of one message for each row.
+        The bytes of the messages.
     """
     codes = expand_formats(formats, len(columns))
     encoders = [
--- a/ebonyrack/standins/schema.py
+++ b/ebonyrack/standins/schema.py
@@ -1,4 +1,4 @@
-"""What the stand-in's engine knows of tables and of result columns."""
+"""Column metadata of tables and statements in the stand-in's engine."""
 
 from __future__ import annotations
 
@@ -23,48 +23,48 @@
 
 @dataclass(slots=True)
 class Column:
-    """A result column."""
+    """Name and type OID of a result column."""
 
     name: str
     oid: int
 
 
 class Schema:
-    """Answers questions about the schema, remembered until it changes.
+    """Column metadata, cached until the schema changes.
 
     Attributes:
-        engine: The database that is asked.
-        described: Result columns found for a text.
-        column_oids: Type of each column name.
-        unique_columns: Columns of each table that a unique index names.
+        engine: The database.
+        result_columns: Result columns by statement text.
+        column_oids: Type OID of each column name.
+        unique_columns: Columns of each table that are in a unique index.
     """
 
-    __slots__ = ("engine", "described", "column_oids", "unique_columns")
+    __slots__ = ("engine", "result_columns", "column_oids", "unique_columns")
 
     def __init__(self, engine: sqlite3.Connection) -> None:
         self.engine = engine
-        self.described: dict[str, list[Column]] = {}
+        self.result_columns: dict[str, list[Column]] = {}
         self.column_oids: dict[str, int] = {}
         self.unique_columns: dict[str, set[str]] = {}
 
     def run(self, sql: str) -> list[Column]:
-        """Run a read and return its columns."""
+        """Run a read statement and return its result columns."""
         try:
             cursor = self.engine.execute(sql)
             rows = cursor.fetchall()
         except (sqlite3.Error, OverflowError) as error:
             raise translate_error(error) from error
         names = [item[0] for item in cursor.description or ()]
-        return self.name_columns(names, rows)
+        return self.infer_columns(names, rows)
 
-    def forget(self) -> None:
-        """Drop what was remembered about the schema."""
-        self.described.clear()
+    def clear_cache(self) -> None:
+        """Clear the cached metadata after a change of the schema."""
+        self.result_columns.clear()
         self.column_oids.clear()
         self.unique_columns.clear()
 
     def find_column_oids(self) -> dict[str, int]:
-        """Return the type of each column name of all tables."""
+        """Return the type OID of each column name of all tables."""
         if not self.column_oids:
             rows = self.engine.execute(
                 "SELECT c.name, c.type FROM sqlite_master m,"
@@ -76,7 +76,7 @@
         return self.column_oids
 
     def find_unique_columns(self) -> dict[str, set[str]]:
-        """Return, for each table, the columns that a unique index names."""
+        """Return the columns of each table that are in a unique index."""
         if not self.unique_columns:
             rows = self.engine.execute(
                 "SELECT m.name, c.name FROM sqlite_master m,"
@@ -89,47 +89,47 @@
                 self.unique_columns.setdefault(table, set()).add(column)
         return self.unique_columns
 
-    def name_columns(
+    def infer_columns(
         self, names: list[str], rows: list[tuple[SqlValue, ...]]
     ) -> list[Column]:
-        """Give each result column its type, by its values and else by its name."""
-        known = self.find_column_oids()
+        """Infer the type of each result column by its values, or else by its name."""
+        column_oids = self.find_column_oids()
         columns = []
         for index, name in enumerate(names):
             value = next((row[index] for row in rows if row[index] is not None), None)
-            oid = known.get(name, datatypes.TEXT)
+            oid = column_oids.get(name, datatypes.TEXT)
             if value is not None and not (oid == datatypes.BOOL and value in (0, 1)):
                 oid = datatypes.type_of_value(value)
             columns.append(Column(name, oid))
         return columns
 
     def describe(self, sql: str, is_write: bool) -> list[Column]:
-        """Find the result columns of a statement without running a write.
+        """Find the result columns of a statement without executing writes.
 
         Args:
             sql: Text for the engine.
-            is_write: Whether it writes, so that only RETURNING gives columns.
+            is_write: Whether it writes, so that only RETURNING yields columns.
 
         Returns:
-            The columns, empty when it returns no rows.
+            The columns; empty if it returns no rows.
         """
-        if sql not in self.described:
+        if sql not in self.result_columns:
             find = self.describe_returning if is_write else self.describe_read
-            self.described[sql] = find(sql)
-        return self.described[sql]
+            self.result_columns[sql] = find(sql)
+        return self.result_columns[sql]
 
     def describe_read(self, sql: str) -> list[Column]:
-        """Run a read with NULL for each parameter to see its columns."""
-        bare = PARAMETER.sub("NULL", LIMIT_PARAMETER.sub("\\1 1", sql))
-        columns = self.run(bare)
-        declared = self.find_declared_types(bare)
+        """Find the columns of a read by running it with NULL for each parameter."""
+        executable_sql = PARAMETER.sub("NULL", LIMIT_PARAMETER.sub("\\1 1", sql))
+        columns = self.run(executable_sql)
+        declared = self.find_declared_types(executable_sql)
         return [
             Column(column.name, declared.get(column.name, column.oid))
             for column in columns
         ]
 
     def find_declared_types(self, sql: str) -> dict[str, int]:
-        """Ask the engine for the declared types of a query's columns."""
+        """Find the declared types of a query's columns through a temporary view."""
         try:
             self.engine.execute(f"CREATE TEMP VIEW described AS {sql}")
         except sqlite3.Error:
@@ -139,11 +139,11 @@
         return {row[1]: datatypes.type_of_name(row[2]) for row in rows if row[2]}
 
     def describe_returning(self, sql: str) -> list[Column]:
-        """Read the columns of a RETURNING clause."""
+        """Find the columns of a RETURNING clause."""
         match = RETURNING.search(sql)
         if match is None:
             return []
-        known = self.find_column_oids()
+        column_oids = self.find_column_oids()
         names: list[str] = []
         for part in match.group(1).split(","):
             if part.strip() == "*":
@@ -151,13 +151,13 @@
                 continue
             alias = ALIAS.search(part)
             names.append(alias.group(1) if alias else part.strip().strip('"'))
-        return [Column(name, known.get(name, datatypes.TEXT)) for name in names]
+        return [Column(name, column_oids.get(name, datatypes.TEXT)) for name in names]
 
     def find_table_columns(self, sql: str) -> Iterable[str]:
         """Return the column names of the table that a statement writes."""
         match = TARGET_TABLE.search(sql)
         if match is None:
-            raise SqlError("42601", "no table found")
+            raise SqlError("42601", "cannot find the target table of the statement")
         rows = self.engine.execute(
             "SELECT name FROM pragma_table_info(?)", (match.group(1),)
         )
--- a/ebonyrack/standins/session.py
+++ b/ebonyrack/standins/session.py
@@ -1,4 +1,4 @@
-"""One connection to a stand-in upstream, from its startup to its end."""
+"""A session of a stand-in upstream, from the connection's startup to its end."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from ebonyrack.core.position import LogPosition
 from ebonyrack.standins.dialect import parse_script
 from ebonyrack.standins.execution import AnswerLostError
-from ebonyrack.standins.execution import end_implicit
+from ebonyrack.standins.execution import commit_implicit_transaction
 from ebonyrack.standins.execution import execute
 from ebonyrack.standins.execution import fail_transaction
 from ebonyrack.standins.extended_query import ExtendedQuery
@@ -32,7 +32,7 @@
 
 STARTUP_TIMEOUT_S = 60.0
 KEY_BYTES = 4
-# Reported at startup and before the ReadyForQuery after a change, as PostgreSQL does.
+# Reported at startup, and before ReadyForQuery after a change, as in PostgreSQL.
 ROLE_PARAMETER = "in_hot_standby"
 READY = {
     status: messages.ReadyForQuery(status).to_wire() for status in TransactionStatus
@@ -43,15 +43,15 @@
     """Serves one connection: startup, queries, cancellation.
 
     Attributes:
-        process_id: Number by which a CancelRequest names this session.
-        secret_key: Key that a CancelRequest must give.
+        process_id: Process id that identifies this session in a CancelRequest.
+        secret_key: Key that a CancelRequest must contain.
         task: Task that serves the connection.
         transaction: Open transaction, if any.
-        last_commit: Position of the last transaction committed here.
-        parameters: Settings of the session, names in lower case.
+        last_commit: Log position of the session's last committed transaction.
+        parameters: Session parameters by lower-case name.
         extended: Prepared statements and portals.
-        is_executing: Whether a statement runs, so that it can be cancelled.
-        is_cancelled: Whether a cancel request waits to be noticed.
+        is_executing: Whether a statement is running and can be cancelled.
+        is_cancelled: Whether a cancel request hasn't been handled yet.
     """
 
     __slots__ = (
@@ -87,7 +87,7 @@
         self.is_cancelled = False
 
     async def run(self) -> None:
-        """Serve the connection until it ends, then clean up."""
+        """Serve the connection until it closes, then roll back and clean up."""
         try:
             async with asyncio.timeout(STARTUP_TIMEOUT_S):
                 is_open = await start_session(self)
@@ -106,31 +106,31 @@
             self.writer.close()
 
     def set_parameter(self, name: str, value: str) -> None:
-        """Change a setting and report it if it is one that is reported."""
+        """Set a parameter, and report it to the caller if it is a reported one."""
         self.parameters[name.lower()] = value
         for reported in REPORTED_PARAMETERS:
             if reported.lower() == name.lower():
                 self.send(messages.ParameterStatus(reported, value))
 
     def report_role(self) -> None:
-        """Tell whether the upstream is a replica, if that has changed."""
+        """Report whether the upstream is a replica, if this has changed."""
         value = "off" if self.upstream.role is Role.PRIMARY else "on"
         if self.parameters.get(ROLE_PARAMETER) != value:
             self.parameters[ROLE_PARAMETER] = value
             self.send(messages.ParameterStatus(ROLE_PARAMETER, value))
 
     def send_ready(self) -> None:
-        """Add ReadyForQuery with the transaction's status."""
+        """Queue a ReadyForQuery message with the transaction's status."""
         self.report_role()
         status = TransactionStatus.IDLE
         if self.transaction is not None:
             status = TransactionStatus.IN_TRANSACTION
             if self.transaction.is_failed:
                 status = TransactionStatus.ERROR_TRANSACTION
-        self.out += READY[status]
+        self.send_buffer += READY[status]
 
     async def serve(self) -> None:
-        """Answer queries until the caller leaves."""
+        """Process messages until the caller terminates the session."""
         while True:
             message = await self.next_message()
             match message:
@@ -146,19 +146,19 @@
                     await self.extended.handle(message)
 
     def sync(self) -> None:
-        """End a batch of the extended protocol."""
+        """Handle the Sync that ends a batch of extended query messages."""
         try:
             if self.extended.is_skipping:
                 fail_transaction(self)
             else:
-                end_implicit(self)
+                commit_implicit_transaction(self)
         except SqlError as error:
             self.send_error(error)
         self.extended.end_batch()
         self.send_ready()
 
     async def run_script(self, text: str) -> None:
-        """Run a simple query with all its statements."""
+        """Execute all statements of a simple query."""
         script = parse_script(text)
         if not script:
             self.send(messages.EmptyQueryResponse())
@@ -166,19 +166,21 @@
             for statement in script:
                 outcome = await execute(self, statement, ())
                 if outcome.result.columns:
-                    self.out += encode_row_description(outcome.result.columns)
-                    self.out += encode_rows(outcome.result.rows, outcome.result.columns)
+                    self.send_buffer += encode_row_description(outcome.result.columns)
+                    self.send_buffer += encode_rows(
+                        outcome.result.rows, outcome.result.columns
+                    )
                 self.send(messages.CommandComplete(outcome.tag))
-            end_implicit(self)
+            commit_implicit_transaction(self)
         except SqlError as error:
             self.send_error(error)
         self.send_ready()
 
     async def hold_slot(self, extra_s: float) -> None:
-        """Hold one of the upstream's execution slots for a statement's time.
+        """Occupy one of the upstream's execution slots for a statement's duration.
 
         Args:
-            extra_s: Time on top of the statement cost, in seconds.
+            extra_s: Time in addition to the statement cost, in seconds.
         """
         duration_s = self.upstream.options.statement_cost_s + extra_s
         if duration_s <= 0 and not self.upstream.slots.locked():
@@ -188,14 +190,14 @@
                 await asyncio.sleep(duration_s)
 
     def cancel(self, secret_key: bytes) -> None:
-        """Cancel the running statement if the key is right."""
+        """Cancel the running statement if the secret key matches."""
         if secret_key == self.secret_key and self.is_executing:
             assert self.task is not None
             self.is_cancelled = True
             self.task.cancel()
 
-    def take_cancel(self) -> bool:
-        """Return whether a cancellation came from a cancel request."""
+    def consume_cancellation(self) -> bool:
+        """Return whether a cancel request caused the cancellation, and clear it."""
         if not self.is_cancelled:
             return False
         assert self.task is not None
@@ -204,7 +206,7 @@
         return True
 
     def terminate_transaction(self) -> None:
-        """Roll the open transaction back for a higher term and end the session."""
+        """Roll back the open transaction for a higher term and end the session."""
         transaction = self.transaction
         if transaction is None:
             return
--- a/ebonyrack/standins/session_stream.py
+++ b/ebonyrack/standins/session_stream.py
@@ -1,4 +1,4 @@
-"""The messages of one connection to a stand-in upstream, both ways."""
+"""Message stream of a connection to a stand-in upstream."""
 
 from __future__ import annotations
 
@@ -18,18 +18,25 @@
 
 
 class SessionStream:
-    """Reads messages and sends answers as the faults of the upstream let them.
+    """Receives messages and sends replies, subject to the upstream's faults.
 
     Attributes:
         upstream: The upstream.
         reader: Incoming bytes.
         writer: Outgoing bytes.
         decoder: Decoder of the caller's messages.
-        received: Bytes that arrived last.
-        out: Bytes of answers not sent yet.
+        last_received: Bytes of the last read.
+        send_buffer: Encoded replies not sent yet.
     """
 
-    __slots__ = ("upstream", "reader", "writer", "decoder", "received", "out")
+    __slots__ = (
+        "upstream",
+        "reader",
+        "writer",
+        "decoder",
+        "last_received",
+        "send_buffer",
+    )
 
     def __init__(
         self,
@@ -41,18 +48,18 @@
         self.reader = reader
         self.writer = writer
         self.decoder = FrontendMessageDecoder()
-        self.received = b""
-        self.out = bytearray()
+        self.last_received = b""
+        self.send_buffer = bytearray()
 
     def abort(self) -> None:
-        """Break the connection off."""
+        """Abort the connection."""
         self.writer.transport.abort()
 
     async def next_message(self) -> messages.PGMessage:
-        """Return the caller's next message; answers are sent before a wait.
+        """Return the caller's next message; flush replies before waiting for data.
 
         Raises:
-            ConnectionError: If the caller has gone.
+            ConnectionError: If the caller has closed the connection.
         """
         while True:
             if not self.upstream.faults.can_receive(PROXIES):
@@ -64,25 +71,25 @@
             await self.receive()
 
     async def receive(self) -> None:
-        """Take in the bytes that come next.
+        """Read the next bytes and pass them to the decoder.
 
         Raises:
-            ConnectionError: If the caller has gone.
+            ConnectionError: If the caller has closed the connection.
         """
-        self.received = await self.reader.read(READ_BYTES)
+        self.last_received = await self.reader.read(READ_BYTES)
         await self.upstream.faults.wait_receivable(PROXIES)
-        if not self.received:
-            raise ConnectionResetError("the caller has gone")
+        if not self.last_received:
+            raise ConnectionResetError("the caller closed the connection")
         if self.upstream.options.link_delay_s:
             await asyncio.sleep(self.upstream.options.link_delay_s)
-        self.decoder.feed(self.received)
+        self.decoder.feed(self.last_received)
 
     def send(self, message: messages.PGMessage) -> None:
-        """Add a message to the answers."""
-        self.out += message.to_wire()
+        """Append a message to the send buffer."""
+        self.send_buffer += message.to_wire()
 
     def send_error(self, error: SqlError) -> None:
-        """Add an error to the answers; a fatal one ends the connection.
+        """Append an ErrorResponse to the send buffer; a fatal one ends the session.
 
         Raises:
             ConnectionAbortedError: If the error is fatal.
@@ -92,15 +99,15 @@
             raise ConnectionAbortedError(error.text)
 
     async def flush(self) -> None:
-        """Send the answers, after whatever delay the faults ask for."""
-        if not self.out:
+        """Send the buffered replies after the delays, once the faults permit it."""
+        if not self.send_buffer:
             return
         faults, options = self.upstream.faults, self.upstream.options
         delay_s = faults.answer_delay_s + options.link_delay_s
         if delay_s:
             await asyncio.sleep(delay_s)
         await faults.wait_sendable(PROXIES)
-        data = bytes(self.out)
-        self.out.clear()
+        data = bytes(self.send_buffer)
+        self.send_buffer.clear()
         self.writer.write(data)
         await self.writer.drain()
--- a/ebonyrack/standins/session_test.py
+++ b/ebonyrack/standins/session_test.py
@@ -21,7 +21,7 @@
     )
 
 
-async def test_psycopg_reads_and_writes_with_both_protocols(connection):
+async def test_psycopg_reads_and_writes_with_simple_and_extended_queries(connection):
     await connection.execute(INSERT, (1, "Mali", "r-1"), prepare=True)
     await connection.execute(INSERT, (2, "Anong", "r-2"), prepare=True)
     rows = await fetch(
@@ -34,7 +34,7 @@
         await connection.execute(INSERT, (3, "Somchai", "r-1"))
 
 
-async def test_asyncpg_reads_and_writes_in_binary(group):
+async def test_asyncpg_reads_and_writes_in_binary_format(group):
     connection = await connect_asyncpg(group["up-1"])
     tag = await connection.execute(
         "INSERT INTO bookings (slot, booker, request) VALUES ($1, $2, $3)",
@@ -69,7 +69,7 @@
     assert await fetch(writer, "SELECT * FROM bookings") == []
 
 
-async def test_savepoint_undoes_only_its_own_part(writer):
+async def test_rollback_to_savepoint_keeps_earlier_statements(writer):
     await writer.execute(INSERT, (1, "a", "r-1"))
     with pytest.raises(psycopg.errors.UniqueViolation):
         async with writer.transaction():
@@ -80,7 +80,7 @@
     assert rows == [(1,), (2,)]
 
 
-async def test_readers_see_only_what_is_committed(group):
+async def test_readers_see_only_committed_rows(group):
     writer = await connect(group["up-1"], autocommit=False)
     reader = await connect(group["up-1"])
     async with writer, reader:
@@ -91,7 +91,7 @@
         assert len(await fetch(reader, "SELECT * FROM bookings")) == 1
 
 
-async def test_writers_of_other_values_dont_wait(writers):
+async def test_writers_of_different_keys_do_not_block_each_other(writers):
     first, second = writers
     await first.execute(INSERT, (1, "a", "r-1"))
     await second.execute(INSERT, (2, "b", "r-2"))
@@ -104,7 +104,9 @@
     assert rows == [(1,), (2,)]
 
 
-async def test_writer_of_the_same_key_waits_and_finds_it_taken(group, writers):
+async def test_writer_of_the_same_key_waits_for_commit_and_sees_the_conflict(
+    group, writers
+):
     claim = (
         "INSERT INTO ebonyrack_requests (key, outcome) VALUES (%s, '')"
         " ON CONFLICT (key) DO NOTHING"
@@ -120,7 +122,7 @@
     assert (await waiting).rowcount == 0
 
 
-async def test_concurrent_write_that_changes_the_result_ends_the_later_commit(writers):
+async def test_commit_fails_if_a_concurrent_write_changed_its_results(writers):
     first, second = writers
     await first.execute("INSERT INTO bookings (slot) VALUES (1)")
     await first.commit()
@@ -132,7 +134,7 @@
     assert await fetch(first, "SELECT * FROM bookings") == []
 
 
-async def test_implicit_transaction_that_comes_too_late_fails_at_its_sync(group):
+async def test_implicit_transaction_with_a_conflict_fails_at_sync(group):
     update = (messages.Parse(query="UPDATE bookings SET slot = slot * 2"),)
     update += (messages.Bind(), messages.Execute(), messages.Flush())
     second = await connect(group["up-1"])
@@ -151,7 +153,7 @@
         assert await first.query("SELECT * FROM bookings") and not first.rows
 
 
-async def test_connections_over_the_limit_are_refused():
+async def test_connections_over_the_limit_are_rejected_except_the_administrator():
     async with StandinGroup(options=UpstreamOptions(connection_limit=1)) as group:
         async with await connect(group["up-1"]):
             with pytest.raises(psycopg.OperationalError, match="too many"):
@@ -162,7 +164,7 @@
             assert await fetch(connection, "SELECT 1") == [(1,)]
 
 
-async def test_password_is_checked():
+async def test_wrong_password_is_rejected():
     options = UpstreamOptions(user="ebonyrack", password="secret")
     async with StandinGroup(count=1, options=options) as group:
         with pytest.raises(psycopg.OperationalError):
@@ -171,7 +173,9 @@
             assert await fetch(connection, "SELECT 1") == [(1,)]
 
 
-async def test_cancel_stops_the_statement_and_keeps_the_session(group, connection):
+async def test_cancel_request_stops_the_statement_but_not_the_session(
+    group, connection
+):
     query = asyncio.create_task(connection.execute("SELECT pg_sleep(60)"))
     session = next(iter(group["up-1"].sessions.values()))
     while not session.is_executing:
@@ -182,7 +186,7 @@
     assert await fetch(connection, "SELECT 1") == [(1,)]
 
 
-async def test_callers_may_create_tables_and_run_scripts(connection):
+async def test_tables_can_be_created_and_scripts_are_atomic(connection):
     await connection.execute(
         "CREATE TABLE flights (id SERIAL PRIMARY KEY, at TIMESTAMPTZ"
         " DEFAULT now(), ok BOOLEAN); INSERT INTO flights (ok) VALUES (true);"
--- a/ebonyrack/standins/snapshots.py
+++ b/ebonyrack/standins/snapshots.py
@@ -1,4 +1,4 @@
-"""Committed states of a stand-in's database that can be gone back to."""
+"""Snapshots of a stand-in's database, from which it can be restored."""
 
 from __future__ import annotations
 
@@ -10,18 +10,18 @@
 
 @dataclass(frozen=True, slots=True)
 class Snapshot:
-    """The committed state after the entry of an offset."""
+    """A copy of the database after the log entry at an offset."""
 
     offset: int
     content: sqlite3.Connection
 
 
 class Snapshots:
-    """The last few states of a database, and its first one.
+    """The latest snapshots of a database and the initial one.
 
     Attributes:
         engine: The database.
-        kept: The states, the first one first.
+        kept: The snapshots in order of offset, beginning with the initial one.
     """
 
     __slots__ = ("engine", "kept")
@@ -31,18 +31,20 @@
         self.kept = [Snapshot(0, copy_database(engine))]
 
     def take(self, offset: int) -> None:
-        """Keep the present state as that of an offset of the log."""
+        """Take a snapshot of the current state at a log offset."""
         self.kept.append(Snapshot(offset, copy_database(self.engine)))
         del self.kept[1:-KEPT_SNAPSHOTS]
 
     def restore(self, offset: int) -> int:
-        """Go back to a state that isn't after an offset of the log.
+        """Restore the latest snapshot that isn't after a log offset.
+
+        Later snapshots are removed.
 
         Args:
             offset: The offset.
 
         Returns:
-            Offset of the state restored.
+            Offset of the restored snapshot.
         """
         while self.kept and self.kept[-1].offset > offset:
             self.kept.pop()
@@ -52,7 +54,7 @@
 
 
 def copy_database(source: sqlite3.Connection) -> sqlite3.Connection:
-    """Copy a database into a new one in memory."""
+    """Copy a database into a new in-memory database."""
     copy = sqlite3.connect(":memory:", isolation_level=None)
     source.backup(copy)
     return copy
--- a/ebonyrack/standins/sql_engine.py
+++ b/ebonyrack/standins/sql_engine.py
@@ -1,10 +1,11 @@
-"""The database of one stand-in upstream, on the standard library's sqlite3.
-
-Two in-memory databases are kept: `committed`, which every read sees, and
-`work`, which shows one open write transaction at a time. Several may be open: a
-change to another one undoes `work` and replays that one's statements. A commit
-replays them on `committed`, exactly as a replica does. A statement that then does
-something else than before ends its transaction with a serialization failure.
+"""The database of a stand-in upstream, based on sqlite3.
+
+There are two in-memory databases: `committed`, which reads see, and `work`, which also
+has the changes of one open write transaction at a time. Several transactions may be
+open: to switch to another one, `work` is rolled back and the statements of that
+transaction are replayed on it. A commit replays them on `committed`, exactly as a
+replica does. If the result of a replayed statement differs from that of its first
+execution, its transaction ends with a serialization failure.
 """
 
 from __future__ import annotations
@@ -39,19 +40,19 @@
     """The data of one upstream.
 
     Attributes:
-        committed: What reads see.
-        work: What the shown write transaction sees.
-        shown: Write transaction whose statements `work` holds, or None.
-        time_us: Wall time that `now()` gives, in microseconds.
+        committed: Database with the committed transactions.
+        work: Database with the changes of the loaded write transaction as well.
+        loaded: Write transaction whose statements were run on `work`, or None.
+        time_us: Unix time that `now()` returns, in microseconds; 0 for the real time.
         random: Source of `random()`, seeded for each logged statement.
-        snapshots: States of `committed` that can be gone back to.
-        schema: What is known of tables and result columns.
+        snapshots: Snapshots of `committed`.
+        schema: Column metadata of tables and statements.
     """
 
     __slots__ = (
         "committed",
         "work",
-        "shown",
+        "loaded",
         "time_us",
         "random",
         "snapshots",
@@ -63,7 +64,7 @@
         self.random = random.Random(0)
         self.committed = self.open_engine()
         self.work = self.open_engine()
-        self.shown: Transaction | None = None
+        self.loaded: Transaction | None = None
         self.schema = Schema(self.committed)
         for connection in (self.committed, self.work):
             for sql in SCHEMA:
@@ -71,7 +72,7 @@
         self.snapshots = Snapshots(self.committed)
 
     def open_engine(self) -> sqlite3.Connection:
-        """Open an in-memory database with PostgreSQL's functions."""
+        """Open an in-memory database with some PostgreSQL functions."""
         connection = sqlite3.connect(":memory:", isolation_level=None)
         connection.execute("PRAGMA foreign_keys=ON")
         connection.create_function("now", 0, self.now)
@@ -87,25 +88,25 @@
         return moment.isoformat(sep=" ")
 
     def draw_random(self) -> float:
-        """Return a random number of at least 0 and below 1."""
+        """Return a random number in [0, 1)."""
         return self.random.random()
 
     def read(
         self, sql: str, values: tuple[SqlValue, ...], transaction: Transaction | None
     ) -> ResultSet:
-        """Run a reading statement.
+        """Run a read statement.
 
         Args:
             sql: Text for the engine.
-            values: Parameters.
-            transaction: Write transaction whose own writes it sees, or None.
+            values: Parameter values.
+            transaction: Write transaction whose uncommitted writes it sees, or None.
 
         Returns:
-            The rows.
+            The result.
         """
         if transaction is None:
             return self.run(self.committed, sql, values)
-        self.show(transaction)
+        self.load_transaction(transaction)
         return self.run(self.work, sql, values)
 
     def run(
@@ -121,67 +122,72 @@
             return ResultSet(count=max(cursor.rowcount, 0))
         names = [item[0] for item in cursor.description]
         count = cursor.rowcount if cursor.rowcount >= 0 else len(rows)
-        return ResultSet(self.schema.name_columns(names, rows), rows, count)
+        return ResultSet(self.schema.infer_columns(names, rows), rows, count)
 
-    def show(self, transaction: Transaction) -> None:
-        """Let `work` show an open write transaction.
+    def load_transaction(self, transaction: Transaction) -> None:
+        """Load an open write transaction into `work`.
 
         Raises:
-            SqlError: If its statements do something else than before (40001).
+            SqlError: If a replayed statement has another result than before (40001).
         """
-        if self.shown is transaction:
+        if self.loaded is transaction:
             return
         self.undo_work()
         self.work.execute("BEGIN")
-        self.shown = transaction
+        self.loaded = transaction
         self.replay(self.work, transaction)
 
     def undo_work(self) -> None:
-        """Bring `work` back to what is committed."""
+        """Roll `work` back to the committed state."""
         if self.work.in_transaction:
             self.work.execute("ROLLBACK")
-        self.shown = None
+        self.loaded = None
 
     def replay(self, engine: sqlite3.Connection, transaction: Transaction) -> None:
-        """Run a transaction's statements again and compare what they do.
+        """Replay a transaction's statements and compare their results.
 
         Raises:
-            SqlError: If they do something else than before (40001).
+            SqlError: If a statement has another result than before (40001).
         """
         pairs = zip(transaction.statements, transaction.results, strict=True)
         for index, (statement, before) in enumerate(pairs):
             try:
-                result = self.write_on(engine, statement, transaction.time_us, index)
+                result = self.execute_write(
+                    engine, statement, transaction.time_us, index
+                )
             except SqlError as error:
                 raise SqlError(SERIALIZATION_FAILURE, error.text) from error
             if build_result(result) != before:
-                raise SqlError(SERIALIZATION_FAILURE, "a concurrent write came first")
+                raise SqlError(
+                    SERIALIZATION_FAILURE,
+                    "could not serialize access due to a concurrent write",
+                )
 
     def write(self, statement: LoggedStatement, transaction: Transaction) -> ResultSet:
-        """Run one writing statement and add it to its transaction.
+        """Run a write statement and add it to its transaction.
 
         Args:
             statement: The statement.
             transaction: The open write transaction.
 
         Returns:
-            Rows changed, and rows returned.
+            The result with the number of changed rows.
         """
-        self.show(transaction)
+        self.load_transaction(transaction)
         index = len(transaction.statements)
-        result = self.write_on(self.work, statement, transaction.time_us, index)
+        result = self.execute_write(self.work, statement, transaction.time_us, index)
         transaction.statements.append(statement)
         transaction.results.append(build_result(result))
         return result
 
-    def write_on(
+    def execute_write(
         self,
         engine: sqlite3.Connection,
         statement: LoggedStatement,
         time_us: int,
         index: int,
     ) -> ResultSet:
-        """Run a writing statement with the time and random numbers of its place."""
+        """Run a write statement; `now()` and `random()` are the same in each replay."""
         self.time_us = time_us
         self.random.seed(time_us + index)
         try:
@@ -190,56 +196,56 @@
             self.time_us = 0
 
     def commit(self, entry: LogEntry, transaction: Transaction) -> None:
-        """Show a write transaction to readers.
+        """Commit a write transaction, so that reads see it.
 
         Args:
-            entry: The transaction's entry of the log.
+            entry: The transaction's log entry.
             transaction: The transaction.
 
         Raises:
-            SqlError: If its statements do something else than before (40001).
+            SqlError: If a replayed statement has another result than before (40001).
         """
-        self.show(transaction)
+        self.load_transaction(transaction)
         self.work.execute("COMMIT")
-        self.shown = None
+        self.loaded = None
         self.apply(entry)
 
     def rollback(self, transaction: Transaction) -> None:
-        """Undo an open write transaction."""
-        if self.shown is transaction:
+        """Roll back an open write transaction."""
+        if self.loaded is transaction:
             self.undo_work()
 
     def apply(self, entry: LogEntry) -> None:
-        """Replay one entry of the log."""
+        """Apply a log entry to `committed`."""
         if not entry.statements:
             return
         self.committed.execute("BEGIN")
         for index, statement in enumerate(entry.statements):
-            self.write_on(self.committed, statement, entry.time_us, index)
+            self.execute_write(self.committed, statement, entry.time_us, index)
         self.committed.execute("COMMIT")
         if any(is_schema_change(statement.sql) for statement in entry.statements):
-            self.schema.forget()
+            self.schema.clear_cache()
 
     def take_snapshot(self, offset: int) -> None:
-        """Keep the committed state at an offset of the log, the last few only."""
+        """Take a snapshot of the committed state at a log offset."""
         self.snapshots.take(offset)
 
-    def go_back(self, offset: int) -> int:
-        """Restore a committed state that isn't after an offset of the log.
+    def restore_snapshot(self, offset: int) -> int:
+        """Restore the latest snapshot that isn't after a log offset.
 
         Args:
             offset: The offset.
 
         Returns:
-            Offset of the state restored; what follows it must be applied again.
+            Offset of the restored snapshot; the entries after it must be applied again.
         """
         self.undo_work()
         restored = self.snapshots.restore(offset)
-        self.schema.forget()
+        self.schema.clear_cache()
         return restored
 
     def prepare_for_writes(self) -> None:
-        """Bring `work` to the state of `committed`."""
+        """Copy `committed` to `work`, so that it can run write transactions."""
         self.undo_work()
         self.committed.backup(self.work)
 
@@ -250,7 +256,7 @@
 
 
 def build_result(result: ResultSet) -> StatementResult:
-    """Build the record of what a writing statement did."""
+    """Build the result of a write statement that its replay is compared with."""
     return StatementResult(result.count, tuple(result.rows))
 
 
--- a/ebonyrack/standins/sql_error.py
+++ b/ebonyrack/standins/sql_error.py
@@ -1,4 +1,4 @@
-"""Errors of the stand-in's SQL with their SQLSTATE."""
+"""SQL errors of the stand-in with their SQLSTATE."""
 
 from __future__ import annotations
 
@@ -22,12 +22,12 @@
 
 
 class SqlError(Exception):
-    """A statement that fails.
+    """Raised when a statement fails.
 
     Attributes:
         sqlstate: Five-character code.
-        text: The message.
-        fatal: Whether the connection ends with it.
+        text: The error message.
+        fatal: Whether the error ends the connection.
     """
 
     def __init__(self, sqlstate: str, text: str, fatal: bool = False) -> None:
@@ -37,19 +37,19 @@
         self.fatal = fatal
 
     def build_fields(self) -> dict[str, str]:
-        """Build the fields of the ErrorResponse."""
+        """Build the fields of an ErrorResponse."""
         severity = "FATAL" if self.fatal else "ERROR"
         return {"S": severity, "V": severity, "C": self.sqlstate, "M": self.text}
 
 
 def translate_error(error: Exception) -> SqlError:
-    """Find the SQLSTATE of an error of the engine.
+    """Translate an engine error to an SQL error.
 
     Args:
-        error: Error that sqlite3 raised.
+        error: Error raised by sqlite3.
 
     Returns:
-        The error to answer.
+        The error with its SQLSTATE.
     """
     text = str(error)
     if isinstance(error, sqlite3.IntegrityError):
--- a/ebonyrack/standins/startup.py
+++ b/ebonyrack/standins/startup.py
@@ -1,4 +1,4 @@
-"""The startup of a connection to a stand-in upstream."""
+"""Startup and authentication of a connection to a stand-in upstream."""
 
 from __future__ import annotations
 
@@ -31,10 +31,10 @@
 
 
 async def start_session(session: StandinSession) -> bool:
-    """Do the startup.
+    """Perform the startup.
 
     Returns:
-        Whether the session is open for queries.
+        Whether the session is ready for queries.
     """
     while True:
         message = await session.next_message()
@@ -50,27 +50,27 @@
                 if REPLICA_PARAMETER in message.params:
                     await send_log(session, message.params[REPLICA_PARAMETER])
                     return False
-                if await admit(session, message.params):
+                if await process_startup(session, message.params):
                     return True
             case messages.PasswordMessage():
                 check_password(session, message)
-                await welcome(session)
+                await complete_startup(session)
                 return True
 
 
 async def send_log(session: StandinSession, replica_name: str) -> None:
-    """Send the log to a replica over this connection."""
+    """Stream the log to a replica over this connection."""
     sender = LogSender(session.upstream, session.reader, session.writer, replica_name)
     if session.decoder.buffered:
-        sender.frames.unpacker.feed(session.received[-session.decoder.buffered :])
+        sender.frames.unpacker.feed(session.last_received[-session.decoder.buffered :])
     await sender.run()
 
 
-async def admit(session: StandinSession, params: dict[str, str]) -> bool:
-    """Check limit and user.
+async def process_startup(session: StandinSession, params: dict[str, str]) -> bool:
+    """Check the connection limit and the user of a startup message.
 
     Returns:
-        Whether the session is open; else a password was asked for.
+        Whether the startup is complete; otherwise a password was requested.
     """
     options = session.upstream.options
     is_administrator = params.get("user") == options.administrator
@@ -88,18 +88,18 @@
         session.send(messages.AuthenticationCleartextPassword())
         session.decoder.phase = ConnectionPhase.AUTHENTICATING
         return False
-    await welcome(session)
+    await complete_startup(session)
     return True
 
 
 def check_password(session: StandinSession, message: messages.PasswordMessage) -> None:
-    """End the connection if the password is wrong."""
+    """Reject the connection if the password is wrong."""
     if message.password != session.upstream.options.password:
         session.send_error(SqlError("28P01", "wrong password", fatal=True))
 
 
-async def welcome(session: StandinSession) -> None:
-    """Tell the caller the settings and that queries may come."""
+async def complete_startup(session: StandinSession) -> None:
+    """Send the session parameters and ReadyForQuery after authentication."""
     session.decoder.phase = ConnectionPhase.READY
     session.send(messages.AuthenticationOk())
     for name in REPORTED_PARAMETERS:
--- a/ebonyrack/standins/storage.py
+++ b/ebonyrack/standins/storage.py
@@ -1,4 +1,4 @@
-"""What one upstream of the stand-in group stores: its log and its database."""
+"""Storage of a stand-in upstream: its log and its database."""
 
 from __future__ import annotations
 
@@ -17,15 +17,15 @@
 
 
 class Storage:
-    """A log of transactions, and the database that its applied part adds up to.
+    """A transaction log and the database with its applied entries.
 
     Attributes:
         log: Committed transactions.
-        database: What the applied part of the log adds up to.
-        received: Waits for the end of the log.
-        applied: Waits for what reads show.
-        locks: Values that open transactions write.
-        appended: Set and replaced at each new entry, for the senders of the log.
+        database: Database to which entries of the log are applied.
+        received: Position of the last entry of the log, and waits for it.
+        applied: Position of the last applied entry, and waits for it.
+        locks: Locks of open write transactions.
+        appended: Set and replaced at each new entry to wake the log senders.
     """
 
     __slots__ = ("log", "database", "received", "applied", "locks", "appended")
@@ -39,18 +39,18 @@
         self.appended = asyncio.Event()
 
     def append(self, entry: LogEntry) -> None:
-        """Add an entry to the log and wake those who wait for it."""
+        """Append an entry to the log and wake the tasks that wait for it."""
         self.log.append(entry)
         self.received.advance(entry.position)
         self.wake_senders()
 
     def wake_senders(self) -> None:
-        """Let the senders of the log look again."""
+        """Wake the log senders, so that they check the log and the role again."""
         self.appended.set()
         self.appended = asyncio.Event()
 
     def apply_received(self, limit: LogPosition) -> None:
-        """Show received entries up to a position in reads."""
+        """Apply received entries up to a position, so that reads see them."""
         applied = self.applied.reached
         while applied < limit and applied.offset < len(self.log.entries):
             entry = self.log.entries[applied.offset]
@@ -60,22 +60,22 @@
         self.applied.advance(applied)
 
     def snapshot_if_due(self, offset: int) -> None:
-        """Keep the state at every so many entries of the log."""
+        """Take a snapshot every SNAPSHOT_ENTRIES log entries."""
         if offset % SNAPSHOT_ENTRIES == 0:
             self.database.take_snapshot(offset)
 
     def commit(self, transaction: Transaction, term: int) -> LogPosition:
-        """Commit a write transaction together with its log entry.
+        """Commit a write transaction and append its log entry.
 
         Args:
             transaction: The transaction.
-            term: Term of the primary that commits it.
+            term: Term of the primary.
 
         Returns:
-            Position of its entry.
+            Position of the log entry.
 
         Raises:
-            SqlError: If a concurrent write came first (40001).
+            SqlError: If a concurrent write changed its results (40001).
         """
         position = LogPosition(term, len(self.log.entries) + 1)
         entry = LogEntry(position, transaction.time_us, tuple(transaction.statements))
@@ -91,20 +91,20 @@
         return position
 
     def rollback(self, transaction: Transaction) -> None:
-        """Roll a transaction back and let those in that wait for it."""
+        """Roll back a transaction and release its locks."""
         if transaction.is_writing:
             transaction.is_writing = False
             self.database.rollback(transaction)
             self.locks.release(transaction)
 
     def rebuild(self, offset: int) -> None:
-        """Cut the log back to an offset and bring the database to its end.
+        """Truncate the log to an offset and rebuild the database from it.
 
-        It starts from a snapshot, since a replay of the whole log would hold up
-        the other upstreams of the process for seconds.
+        The replay starts from a snapshot, because a replay of the whole log would
+        block the other upstreams of the process for seconds.
         """
         self.log.truncate(offset)
-        start = self.database.go_back(offset)
+        start = self.database.restore_snapshot(offset)
         for entry in self.log.entries[start:]:
             self.database.apply(entry)
         self.received.advance(self.log.last)
--- a/ebonyrack/standins/transaction.py
+++ b/ebonyrack/standins/transaction.py
@@ -1,4 +1,4 @@
-"""An open transaction of a session with a stand-in upstream."""
+"""Transactions of a stand-in upstream's sessions."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StatementResult:
-    """What a writing statement did, to be met again when it is replayed."""
+    """Result of a write statement, to compare with the result of its replay."""
 
     count: int
     rows: tuple[tuple[SqlValue, ...], ...]
@@ -19,18 +19,19 @@
 
 @dataclass(slots=True, eq=False)
 class Transaction:
-    """A transaction between its first statement and its end.
+    """An open transaction.
 
     Attributes:
-        is_explicit: Whether BEGIN opened it; else the next Sync ends it.
-        is_read_only: Whether it was opened READ ONLY.
+        is_explicit: Whether it was begun by BEGIN; otherwise it ends with the query or
+            at the next Sync.
+        is_read_only: Whether it was begun READ ONLY.
         is_failed: Whether a statement failed, so that only ROLLBACK is accepted.
-        is_terminated: Whether the upstream rolled it back for a higher term.
-        is_writing: Whether it has written.
-        time_us: Wall time of the first write, in microseconds.
-        statements: Writing statements so far.
-        results: What each of them did.
-        claims: Values that no other transaction may write meanwhile.
+        is_terminated: Whether the upstream rolled it back because of a higher term.
+        is_writing: Whether it has begun to write.
+        time_us: Unix time of the first write, in microseconds.
+        statements: Write statements so far.
+        results: Result of each write statement.
+        lock_keys: Lock keys that it holds.
     """
 
     is_explicit: bool
@@ -41,4 +42,4 @@
     time_us: int = 0
     statements: list[LoggedStatement] = field(default_factory=list)
     results: list[StatementResult] = field(default_factory=list)
-    claims: set[str] = field(default_factory=set)
+    lock_keys: set[str] = field(default_factory=set)
