--- a/ebonyrack/members/member.py
+++ b/ebonyrack/members/member.py
@@ -25,7 +25,7 @@
 
 
 @dataclass(slots=True)
-class MemberQueue:
+class MemberQueueSettings:
     """Settings of the queue for one upstream's connections.
 
     Attributes:
@@ -75,8 +75,8 @@
         self.entry = entry
         self.codec = codec
         self.liveness = Liveness()
-        self.pool: Pool[UpstreamLink, MemberQueue] = Pool(
-            entry.address, MemberQueue(), limit, self.open_link
+        self.pool: Pool[UpstreamLink, MemberQueueSettings] = Pool(
+            entry.address, MemberQueueSettings(), limit, self.open_link
         )
         self.position: LogPosition | None = None
         self.missing_position: LogPosition | None = None
--- a/ebonyrack/pooling/busy_upstream_test.py
+++ b/ebonyrack/pooling/busy_upstream_test.py
@@ -6,7 +6,7 @@
 
 from ebonyrack.core.address import Address
 from ebonyrack.core.clock import now_s
-from ebonyrack.members.member import MemberQueue
+from ebonyrack.members.member import MemberQueueSettings
 from ebonyrack.pooling import connection_limit
 from ebonyrack.pooling.pool import Pool
 
@@ -28,7 +28,9 @@
     async def connect(timeout_s):
         return FakeConnection()
 
-    async with Pool(Address("127.0.0.1", 1), MemberQueue(), SHARE, connect) as running:
+    async with Pool(
+        Address("127.0.0.1", 1), MemberQueueSettings(), SHARE, connect
+    ) as running:
         yield running
 
 
