--- a/ebonyrack/members/directory.py
+++ b/ebonyrack/members/directory.py
@@ -108,13 +108,12 @@
                 await group.apply_entry(entry)
 
     async def remove_missing(
-        self, answering_since_s: float | None, limit_s: float
+        self, replying_since_s: float | None, limit_s: float
     ) -> None:
         """Remove upstreams whose entries stay missing while the store replies.
 
         Args:
-            answering_since_s: Time since which the store replies; None if it
-                doesn't.
+            replying_since_s: Time since which the store replies; None if it doesn't.
             limit_s: Seconds after which an upstream without an entry is removed.
         """
         now = boot_time_s()
@@ -123,10 +122,10 @@
                 since_s = member.entry_missing_since_s
                 if since_s is None:
                     continue
-                if answering_since_s is None:
+                if replying_since_s is None:
                     member.entry_missing_since_s = now
                     continue
-                since_s = max(since_s, answering_since_s)
+                since_s = max(since_s, replying_since_s)
                 if now - since_s > limit_s and member is not group.primary:
                     self.entries.pop(member.member_id, None)
                     await group.remove(member.member_id, "its entry is missing")
--- a/ebonyrack/members/group.py
+++ b/ebonyrack/members/group.py
@@ -18,7 +18,7 @@
 
 # Idle connections above the limit are closed after this time, in seconds. Opening one
 # occupies a slot of the upstream for some ten milliseconds, as long as a statement.
-IDLE_LIMIT_S = 2.0
+IDLE_TIMEOUT_S = 2.0
 # Probes of the known upstreams find a new primary within this time, in seconds; after
 # that, the store may list upstreams that aren't known yet.
 PROBE_DISCOVERY_S = 1.5
@@ -105,7 +105,7 @@
             )
             is_near = member.entry.data_centre == self.data_centre
             idle_limit = compute_idle_limit(self.connection_share, is_near, is_primary)
-            member.pool.trim_idle(idle_limit, IDLE_LIMIT_S)
+            member.pool.trim_idle(idle_limit, IDLE_TIMEOUT_S)
 
     def set_weights(self, weights: dict[str, int]) -> None:
         """Set the queue weights of the databases."""
--- a/ebonyrack/members/link.py
+++ b/ebonyrack/members/link.py
@@ -43,7 +43,7 @@
         codec: Protocol of the upstream.
         liveness: Records whether the upstream replies.
         state: State of the upstream's session.
-        due: Number of outstanding replies.
+        outstanding_replies: Number of replies that are still to come.
         values: Session values that are set on the connection.
         prepared: Names of the statements that are prepared on it.
         is_abandonable: Whether its current exchange may be abandoned and repeated
@@ -55,7 +55,7 @@
         "codec",
         "liveness",
         "state",
-        "due",
+        "outstanding_replies",
         "values",
         "prepared",
         "is_abandonable",
@@ -68,7 +68,7 @@
         self.codec = codec
         self.liveness = liveness
         self.state = TransactionState.IDLE
-        self.due = 0
+        self.outstanding_replies = 0
         self.values: dict[bytes, bytes] = {}
         self.prepared: set[bytes] = set()
         self.is_abandonable = False
@@ -81,12 +81,16 @@
     @property
     def is_clean(self) -> bool:
         """Whether it is open and idle, with no reply outstanding."""
-        return self.is_open and self.due == 0 and self.state is TransactionState.IDLE
+        return (
+            self.is_open
+            and self.outstanding_replies == 0
+            and self.state is TransactionState.IDLE
+        )
 
     @property
     def is_idle_in_transaction(self) -> bool:
         """Whether it is in a transaction with no reply outstanding."""
-        return self.due == 0 and self.state is TransactionState.OPEN
+        return self.outstanding_replies == 0 and self.state is TransactionState.OPEN
 
     def close(self) -> None:
         """Close the connection at once; an open transaction is rolled back."""
@@ -104,7 +108,7 @@
             requests: The requests.
             timeout_s: Seconds to wait. The connection is closed after that.
             is_abandonable: Whether the exchange may be abandoned when the upstream
-                falls silent, as nothing is kept without a later commit.
+                falls silent, because it commits nothing.
 
         Returns:
             A reply to each request.
@@ -120,7 +124,7 @@
         try:
             data = b"".join(self.codec.encode_request(request) for request in requests)
             self.stream.write(data)
-            self.due += len(requests)
+            self.outstanding_replies += len(requests)
             async with asyncio.timeout(timeout_s):
                 for _ in requests:
                     replies.append(await self.read_reply())
@@ -157,9 +161,9 @@
         return began, sent_at_s
 
     async def read_reply(self) -> Reply:
-        """Wait for the reply to the oldest request without one."""
+        """Wait for the reply to the oldest unanswered request."""
         reply = await self.codec.read_reply(self.stream)
-        self.due -= 1
+        self.outstanding_replies -= 1
         self.state = reply.state
         self.liveness.record_reply()
         return reply
@@ -191,7 +195,7 @@
         for reply in replies:
             if reply.rejection is not None:
                 self.close()
-                raise UpstreamLostError(f"session set-up was rejected: {reply.detail}")
+                raise UpstreamLostError(f"session setup was rejected: {reply.detail}")
         if requests[0] is DISCARD_REQUEST:
             self.prepared.clear()
         self.values = dict(context.values)
@@ -215,7 +219,7 @@
                 Request(
                     RequestKind.PREPARE,
                     name=prepared.upstream_name,
-                    argument=prepared.shape,
+                    argument=prepared.text,
                     writes=prepared.writes,
                 )
             )
--- a/ebonyrack/members/member.py
+++ b/ebonyrack/members/member.py
@@ -17,8 +17,8 @@
 from ebonyrack.requests.reply import RejectionKind
 from ebonyrack.requests.reply import Reply
 
-# How long a replica that lacked a position is not tried for it again; a replica that
-# keeps up applies a commit within this time.
+# How long a replica that lacked a position is tried last for it; a replica that keeps
+# up applies a commit within this time.
 LAGGING_PAUSE_S = 0.03
 # How long an upstream is tried last after it rejected work or lost a connection.
 DEPRIORITIZED_S = 0.25
@@ -46,9 +46,9 @@
         pool: Connections to it.
         position: Newest position that it has reported.
         missing_position: Position that it lacked when a read required it, or None.
-        lagging_until_s: Time until which it isn't tried for that position again.
+        lagging_until_s: Time until which it is tried last for that position.
         deprioritized_until_s: Time until which other upstreams are preferred.
-        abandoned_at_s: Time at which all work here was last abandoned.
+        abandoned_at_s: Time at which its requests were last abandoned.
         reply_time: Statistics of its reply times.
         entry_missing_since_s: Time since which its entry is missing, or None.
         write_sent_s: Send time of each write or commit without a reply, by number.
--- a/ebonyrack/members/presence.py
+++ b/ebonyrack/members/presence.py
@@ -1,7 +1,7 @@
 """Registers this proxy in the store and counts the live proxies.
 
 All proxies share the connections of the upstreams, so each must know how many proxies
-there are. A name expires with its lease, so a crashed proxy is no longer counted.
+there are. A name expires with its lease, so a crashed proxy stops being counted.
 """
 
 from __future__ import annotations
@@ -22,12 +22,12 @@
 from ebonyrack.store.leasing_store import StoreWrite
 
 PREFIX = "ebonyrack/proxies/"
-# Longer than the outages that should not change the shares of connections.
-LEASE_S = 10.0
-RENEWAL_S = 3.0
+# Longer than the outages that should not change the connection shares.
+LEASE_TTL_S = 10.0
+RENEWAL_INTERVAL_S = 3.0
 # A missing name still counts for this long: the proxy may be restarting, its lease may
 # have expired in an outage, and upstreams keep its connections for a while.
-DEPARTED_S = 15.0
+DEPARTED_GRACE_S = 15.0
 INITIAL_BACKOFF_S = 0.2
 MAXIMUM_BACKOFF_S = 2.0
 
@@ -98,9 +98,9 @@
         now = boot_time_s()
         self.departed_at_s.update(dict.fromkeys(names, now))
         self.departed_at_s = {
-            name: departed_s
-            for name, departed_s in self.departed_at_s.items()
-            if now - departed_s < DEPARTED_S and name not in self.live_names
+            name: departed_at_s
+            for name, departed_at_s in self.departed_at_s.items()
+            if now - departed_at_s < DEPARTED_GRACE_S and name not in self.live_names
         }
 
     async def register(self) -> None:
@@ -115,7 +115,7 @@
 
     async def write_name(self) -> int | None:
         """Write the name with a new lease; return the lease, or None on failure."""
-        lease = await self.store.grant_lease(LEASE_S)
+        lease = await self.store.grant_lease(LEASE_TTL_S)
         if isinstance(lease, Err):
             self.log_failure("lease", lease.err_value.reason)
             return None
@@ -134,7 +134,7 @@
     async def renew_while_held(self, lease: int) -> None:
         """Renew a lease until it has expired."""
         while True:
-            await asyncio.sleep(RENEWAL_S)
+            await asyncio.sleep(RENEWAL_INTERVAL_S)
             renewed = await self.store.renew_lease(lease)
             if isinstance(renewed, Err):
                 self.log_failure("renew", renewed.err_value.reason)
--- a/ebonyrack/members/presence_test.py
+++ b/ebonyrack/members/presence_test.py
@@ -1,7 +1,7 @@
 import pytest
 
 from ebonyrack.members import presence as module
-from ebonyrack.members.presence import DEPARTED_S
+from ebonyrack.members.presence import DEPARTED_GRACE_S
 from ebonyrack.members.presence import PREFIX
 from ebonyrack.members.presence import Presence
 from ebonyrack.store.leasing_store import StoreChanges
@@ -30,7 +30,7 @@
     assert presence.live_count == 3
     await presence.apply(build_changes([], deleted=["b", "c"]))
     assert presence.live_count == 3
-    clock.time_s += DEPARTED_S + 1
+    clock.time_s += DEPARTED_GRACE_S + 1
     await presence.apply(build_changes([]))
     assert presence.live_count == 1
     await presence.apply(build_changes(["b"]))
--- a/ebonyrack/members/primary_state.py
+++ b/ebonyrack/members/primary_state.py
@@ -22,7 +22,7 @@
 from ebonyrack.placing.primary_outage import decide_wait
 from ebonyrack.placing.primary_tracker import PrimaryTracker
 
-# Requests that wait for a primary check again after this at the latest, in seconds.
+# Longest time between two checks of a request that waits for a primary.
 RECHECK_INTERVAL_S = 0.1
 
 
@@ -101,7 +101,7 @@
             self.primary_tracker.deny(member.member_id)
 
     def track_primary_change(self, reason: str) -> PrimaryChange:
-        """Return a context that logs and reports a change of the primary."""
+        """Return a context manager that reports a change of the primary."""
         return PrimaryChange(self, reason)
 
     def report_primary_change(self, before: str | None, reason: str) -> None:
--- a/ebonyrack/members/session_context.py
+++ b/ebonyrack/members/session_context.py
@@ -7,7 +7,7 @@
 from dataclasses import field
 from functools import lru_cache
 
-# Callers prepare few distinct shapes, each of them in many sessions.
+# Callers prepare few distinct statements, each of them in many sessions.
 NAME_CACHE_SIZE = 4096
 
 
@@ -16,26 +16,26 @@
     """A prepared statement.
 
     Attributes:
-        shape: The statement to execute.
+        text: The statement to execute.
         writes: Whether it writes.
     """
 
-    shape: bytes
+    text: bytes
     writes: bool
 
     @property
     def upstream_name(self) -> bytes:
         """Name on connections to upstreams, the same for all callers.
 
-        Callers' own names collide, and sharing by shape avoids repeated preparation.
+        Callers' own names collide, and sharing by text avoids repeated preparation.
         """
-        return derive_statement_name(self.shape, self.writes)
+        return derive_statement_name(self.text, self.writes)
 
 
 @lru_cache(maxsize=NAME_CACHE_SIZE)
-def derive_statement_name(shape: bytes, writes: bool) -> bytes:
+def derive_statement_name(text: bytes, writes: bool) -> bytes:
     """Return the name of a prepared statement on connections to upstreams."""
-    digest = hashlib.sha256(shape).hexdigest()[:24]
+    digest = hashlib.sha256(text).hexdigest()[:24]
     kind = "w" if writes else "r"
     return f"{kind}{digest}".encode()
 
--- a/ebonyrack/placing/connection_share.py
+++ b/ebonyrack/placing/connection_share.py
@@ -4,8 +4,9 @@
 all proxies lose power at once. Upstreams keep the old connections open for some
 seconds, so only the remaining ones can be opened meanwhile: the fewer idle connections
 a proxy keeps, the more proxies can serve again at once. Every proxy needs connections
-to the primary, so until the old ones are gone, a proxy that has just started keeps none
-of them idle: it closes each after use, and another proxy can connect.
+to the primary, so until the old ones are gone, a proxy that has just started keeps no
+idle connections to the primary: it closes each after use, and another proxy can
+connect.
 """
 
 from __future__ import annotations
@@ -44,13 +45,13 @@
 def is_short_of_connections(
     age_s: float, maximum_connections: int, live_proxies: int
 ) -> bool:
-    """Return whether a proxy must leave idle connections to the primary to others.
+    """Return whether a proxy must not keep idle connections to the primary.
 
-    This holds soon after its start if the upstream can't accept one connection from
+    This holds soon after its start if the primary can't accept one connection from
     every proxy in addition to the old ones that may still be open.
 
     Args:
-        age_s: Seconds since the proxy has started.
+        age_s: Seconds since the proxy started.
         maximum_connections: Connections that the upstream accepts in total.
         live_proxies: Number of proxies known to be alive, including this one.
     """
--- a/ebonyrack/placing/decisions_test.py
+++ b/ebonyrack/placing/decisions_test.py
@@ -53,8 +53,8 @@
     for sample in samples:
         history.add(sample)
     position = history.find_position(time_s)
-    young = [s.position for s in history.samples if s.sent_at_s >= time_s]
-    assert position in young if young else position is None
+    recent = [s.position for s in history.samples if s.sent_at_s >= time_s]
+    assert position in recent if recent else position is None
 
 
 def test_oldest_sample_that_is_recent_enough_is_found():
--- a/ebonyrack/placing/position_history.py
+++ b/ebonyrack/placing/position_history.py
@@ -8,7 +8,7 @@
 from ebonyrack.core.position import LogPosition
 
 # Routes allow reads that are a few seconds stale at most.
-HISTORY_S = 10.0
+SAMPLE_RETENTION_S = 10.0
 
 
 @dataclass(frozen=True, slots=True)
@@ -40,12 +40,12 @@
         self.samples: deque[PositionSample] = deque()
 
     def add(self, sample: PositionSample) -> None:
-        """Add a sample, ignoring one whose probe was overtaken by a later one."""
+        """Add a sample unless its probe was sent before that of the newest one."""
         samples = self.samples
         if samples and sample.sent_at_s < samples[-1].sent_at_s:
             return
         samples.append(sample)
-        while samples[0].sent_at_s < sample.sent_at_s - HISTORY_S:
+        while samples[0].sent_at_s < sample.sent_at_s - SAMPLE_RETENTION_S:
             samples.popleft()
 
     def clear(self) -> None:
--- a/ebonyrack/placing/primary_health.py
+++ b/ebonyrack/placing/primary_health.py
@@ -42,7 +42,7 @@
         is_known: Whether an upstream is presumed to be the primary.
         unknown_for_s: Seconds without a known primary.
         silent_for_s: Seconds for which it has left requests without a reply.
-        silence_limit_s: Seconds of silence that its reply times explain.
+        silence_limit_s: Seconds of silence that its reply times can explain.
         refused_for_s: Seconds for which it has refused connections.
         stalled_for_s: Seconds for which commits have waited without any completing.
         is_leaving: Whether it will shut down soon.
--- a/ebonyrack/placing/primary_outage.py
+++ b/ebonyrack/placing/primary_outage.py
@@ -2,7 +2,8 @@
 
 The loss of a primary affects all writers of a group at the same moment. Requests
 whose deadline allows it wait for the promotion. The others are rejected at once with
-a retry-after that spreads them over the time after which writes are served again.
+a retry-after that spreads their retries over a short time from the expected end of the
+outage on.
 """
 
 from __future__ import annotations
@@ -20,10 +21,11 @@
 EXPECTED_DISCOVERY_S = 0.3
 # A request waits only if this much of its time remains once the primary is back.
 SERVICE_ALLOWANCE_S = 0.1
-# An outage may end any moment, but a request needs this long to be served after it.
-MINIMUM_REMAINING_S = 0.1
+# Minimum estimate of the remainder: an outage may end at any moment, but a request
+# needs this long to be served after it.
+MINIMUM_REMAINING_OUTAGE_S = 0.1
 # Expected remainder of an outage that is longer than usual, as a share of its length.
-REMAINING_SHARE = 0.5
+REMAINING_OUTAGE_SHARE = 0.5
 # Rejected callers retry spread over this time after the expected end of the outage.
 RETRY_SPREAD_S = 0.3
 
@@ -69,8 +71,8 @@
         expected_outage_s: Seconds that such an outage usually lasts.
     """
     if lost_for_s < expected_outage_s:
-        return max(MINIMUM_REMAINING_S, expected_outage_s - lost_for_s)
-    return max(MINIMUM_REMAINING_S, REMAINING_SHARE * lost_for_s)
+        return max(MINIMUM_REMAINING_OUTAGE_S, expected_outage_s - lost_for_s)
+    return max(MINIMUM_REMAINING_OUTAGE_S, REMAINING_OUTAGE_SHARE * lost_for_s)
 
 
 def decide_wait(
--- a/ebonyrack/placing/primary_tracker.py
+++ b/ebonyrack/placing/primary_tracker.py
@@ -11,7 +11,7 @@
     read-write transaction proves the role.
 
     Attributes:
-        claims: Upstreams that report to be the primary, with the store revision of
+        claims: Upstreams that report being the primary, with the store revision of
             the first such report.
         denied: Upstreams that have rejected a request as replicas since their claim.
         confirmed: Upstream whose replies have proven it to be the primary, or None.
--- a/ebonyrack/placing/promotion_candidate.py
+++ b/ebonyrack/placing/promotion_candidate.py
@@ -20,7 +20,7 @@
         member_id: Identity.
         received: Position up to which it has received the log; None if it doesn't
             reply.
-        is_paused: Whether it receives nothing more in the terms so far.
+        is_paused: Whether it receives nothing more of the terms so far.
         is_leaving: Whether it will shut down soon.
     """
 
@@ -33,12 +33,13 @@
 def choose_candidate(replicas: list[ReplicaState], primary_serves: bool) -> str | None:
     """Return the upstream that should be promoted, or None.
 
-    While the primary serves, a replica that stays can still catch up with the others;
-    once it is lost, only the most complete log holds all acknowledged commits.
+    While the primary serves, a replica that isn't leaving can still catch up with the
+    others; once the primary is lost, only the most complete log holds all acknowledged
+    commits.
 
     Args:
         replicas: The upstreams other than the current or lost primary.
-        primary_serves: Whether the replicas still receive commits.
+        primary_serves: Whether the primary still serves and replicas receive commits.
     """
     replying = [each for each in replicas if each.received is not None]
     if primary_serves:
--- a/ebonyrack/placing/read_order.py
+++ b/ebonyrack/placing/read_order.py
@@ -1,9 +1,10 @@
 """Orders the upstreams of a group for a read.
 
-Every data centre has readers, there is one primary, and replicas fall behind in turn.
-Traffic between data centres costs far more than a few milliseconds, so an upstream in
-the same data centre serves until its queue would use up the caller's latency target;
-then the next one is tried. The primary comes last among equals, as only it can write.
+Every data centre has readers, there is one primary, and replicas fall behind one after
+another. Traffic between data centres costs far more than a few milliseconds, so an
+upstream in the same data centre serves until its queue would use up the caller's
+latency target; then the next one is tried. The primary comes last among equals, as only
+it can write.
 """
 
 from __future__ import annotations
@@ -60,9 +61,9 @@
 def order_candidates(candidates: list[ReadCandidate]) -> list[str]:
     """Return upstream identities in the order in which they are tried.
 
-    An unreachable upstream is left out even if it is the only one: a read that waits
-    for its reply would have had time to be served by another proxy. An overloaded
-    upstream is left out if the read is shed there.
+    An unreachable upstream is left out even if it is the only one: in the time for
+    which a read would wait for its reply, the caller can be served by another proxy.
+    An overloaded upstream is left out if the read is shed there.
     """
     usable = [each for each in candidates if each.is_reachable and not each.is_shed]
     ordered = sorted(usable, key=lambda each: (estimate_cost(each), each.member_id))
--- a/ebonyrack/placing/reply_time.py
+++ b/ebonyrack/placing/reply_time.py
@@ -9,8 +9,8 @@
 
 INITIAL_REPLY_TIME_S = 0.02
 # Weights of the newest reply in the averages. An overloaded upstream replies to a proxy
-# a few times a second, and an overload of a few seconds must be detected within the
-# first.
+# a few times a second, and an overload that lasts a few seconds must be detected within
+# its first second.
 MEAN_SMOOTHING = 0.25
 DEVIATION_SMOOTHING = 0.25
 # Without further replies the averages keep their full weight for this long, in seconds,
@@ -56,8 +56,8 @@
 
     def compute_decay(self, now: float) -> float:
         """Return the remaining weight of the averages, 0 to 1."""
-        silent_s = now - self.updated_at_s - FULL_WEIGHT_S
-        return 0.5 ** (max(0.0, silent_s) / HALF_LIFE_S)
+        decaying_s = now - self.updated_at_s - FULL_WEIGHT_S
+        return 0.5 ** (max(0.0, decaying_s) / HALF_LIFE_S)
 
     def estimate(self, now: float) -> float:
         """Return the expected reply time in seconds."""
--- a/ebonyrack/placing/shedding.py
+++ b/ebonyrack/placing/shedding.py
@@ -15,7 +15,7 @@
 # Expected answer time at which shedding starts, as a share of the strictest target; the
 # rest of it covers the network and the error of the estimate.
 SHEDDING_START_SHARE = 0.4
-# Further share over which the shed part of one class rises from none to all.
+# Further share of the target over which the shed share of one class rises from 0 to 1.
 CLASS_STEP_SHARE = 0.3
 # Time constant in seconds with which counted reads decay, and the share of the demand
 # below which a class is ignored.
@@ -59,8 +59,10 @@
 
     def list_active(self) -> list[WorkClass]:
         """Return the classes in use, the most important one first."""
-        least = MINIMUM_DEMAND_SHARE * sum(self.counts.values())
-        return sorted(each for each, count in self.counts.items() if count >= least)
+        minimum_count = MINIMUM_DEMAND_SHARE * sum(self.counts.values())
+        return sorted(
+            each for each, count in self.counts.items() if count >= minimum_count
+        )
 
 
 def compute_shed_share(
@@ -77,5 +79,5 @@
         return 0.0
     later_classes = len(active) - 1 - active.index(work_class)
     strictest_s = min(each.target_s for each in active)
-    first = SHEDDING_START_SHARE + CLASS_STEP_SHARE * later_classes
-    return min(1.0, max(0.0, (answer_s / strictest_s - first) / CLASS_STEP_SHARE))
+    start_share = SHEDDING_START_SHARE + CLASS_STEP_SHARE * later_classes
+    return min(1.0, max(0.0, (answer_s / strictest_s - start_share) / CLASS_STEP_SHARE))
--- a/ebonyrack/placing/shedding_test.py
+++ b/ebonyrack/placing/shedding_test.py
@@ -32,7 +32,7 @@
 
 
 def simulate(rate_per_s, sheds, seed=1):
-    """Simulate arrivals, one connection a proxy; return the share in time by class."""
+    """Simulate reads over one connection a proxy; return the share in time by class."""
     random_ = random.Random(seed)
     proxies = [Proxy(0.0, ReplyTime(), []) for _ in range(PROXIES)]
     slots = [0.0] * SLOTS
--- a/ebonyrack/promotion/lease.py
+++ b/ebonyrack/promotion/lease.py
@@ -18,7 +18,7 @@
 from ebonyrack.store.leasing_store import StoreWrite
 
 PREFIX = "ebonyrack/promotion/"
-# Time for one change of primary; a holder that crashed blocks others for as long.
+# Time for one change of primary; a crashed holder blocks the others for this long.
 LEASE_TTL_S = 4.0
 # The holder acts only this long, counted from before its request for the lease, so that
 # it has certainly stopped when the lease expires.
@@ -91,9 +91,9 @@
         lease: The lease.
     """
     deleted = await store.delete(PREFIX + lease.group, lease.fencing_token)
-    outcome = deleted.unwrap_or(False)
+    is_deleted = deleted.unwrap_or(False)
     logger.bind(
-        group=lease.group, fencing_token=lease.fencing_token, deleted=outcome
+        group=lease.group, fencing_token=lease.fencing_token, deleted=is_deleted
     ).info("duty_given_back")
 
 
--- a/ebonyrack/promotion/order.py
+++ b/ebonyrack/promotion/order.py
@@ -11,7 +11,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PromotionOrder:
-    """One order.
+    """An order to promote one upstream.
 
     Attributes:
         group: The database group.
@@ -27,7 +27,7 @@
 
 
 class OrderOutcome(StrEnum):
-    """Known outcome of an order.
+    """Outcome of an order, as far as it is known.
 
     An unanswered order may be carried out later. A refused one has a token below one
     that the platform has seen, or names an upstream that doesn't run.
--- a/ebonyrack/promotion/participant.py
+++ b/ebonyrack/promotion/participant.py
@@ -123,7 +123,7 @@
             await self.request_status(RESUME_REQUEST)
 
     async def prove_primary(self) -> PositionSample | None:
-        """Probe whether the upstream is the primary by a read-write transaction.
+        """Probe with a read-write transaction whether the upstream is the primary.
 
         Returns:
             The position of its log and the time of the probe; None if it isn't the
--- a/ebonyrack/promotion/promoter.py
+++ b/ebonyrack/promotion/promoter.py
@@ -139,13 +139,13 @@
                     participant
                 ):
                     return PromotionResult.NOT_NEEDED
-            former_primary = [
+            primary_participants = [
                 participant
                 for participant in participants
                 if participant.member is primary
             ]
             if health in CLEARED_BY_PROOF:
-                for participant in former_primary:
+                for participant in primary_participants:
                     if await self.is_serving_primary(participant):
                         return PromotionResult.NOT_NEEDED
             replicas = [
@@ -153,7 +153,9 @@
                 for participant in participants
                 if participant.member is not primary
             ]
-            return await self.promote_candidate(lease, health, former_primary, replicas)
+            return await self.promote_candidate(
+                lease, health, primary_participants, replicas
+            )
         finally:
             for participant in participants:
                 participant.close()
@@ -179,16 +181,20 @@
         self,
         lease: PromotionLease,
         health: PrimaryHealth,
-        former_primary: list[PromotionParticipant],
+        primary_participants: list[PromotionParticipant],
         replicas: list[PromotionParticipant],
     ) -> PromotionResult:
         """Find a candidate that holds all acknowledged commits and promote it."""
-        statuses = [c.status for c in former_primary + replicas if c.status is not None]
+        statuses = [
+            participant.status
+            for participant in primary_participants + replicas
+            if participant.status is not None
+        ]
         newest_term = max(
             (max(status.term, status.paused_term) for status in statuses), default=0
         )
         chosen = await self.find_candidate(
-            lease, newest_term + 1, health, former_primary, replicas
+            lease, newest_term + 1, health, primary_participants, replicas
         )
         if isinstance(chosen, PromotionResult):
             await self.resume(replicas)
@@ -205,13 +211,13 @@
         lease: PromotionLease,
         term: int,
         health: PrimaryHealth,
-        former_primary: list[PromotionParticipant],
+        primary_participants: list[PromotionParticipant],
         replicas: list[PromotionParticipant],
     ) -> PromotionParticipant | PromotionResult:
-        """Pause the other replicas and wait until one holds all that any of them holds.
+        """Pause the other replicas and wait until the candidate holds all they hold.
 
         Returns:
-            That replica, or the result if there is none.
+            The candidate, or the result of the attempt if none is safe.
         """
         primary_serves = health is PrimaryHealth.LEAVING
         acknowledging_replicas = self.group.limits.acknowledging_replicas
@@ -224,7 +230,11 @@
                     and not participant.is_paused
                 ):
                     await participant.pause(term)
-            chosen = [c for c in replicas if c.member.member_id == candidate_id]
+            chosen = [
+                participant
+                for participant in replicas
+                if participant.member.member_id == candidate_id
+            ]
             if chosen and chosen[0].status is not None:
                 if not chosen[0].is_paused:
                     await chosen[0].request_status(STATUS_REQUEST)
@@ -241,7 +251,7 @@
             self.log_unsafe(states)
             await asyncio.sleep(RECHECK_PAUSE_S)
             has_primary_recovered, _ = await asyncio.gather(
-                self.has_primary_recovered(health, former_primary),
+                self.has_primary_recovered(health, primary_participants),
                 self.refresh_participants(replicas),
             )
             if has_primary_recovered:
@@ -249,12 +259,12 @@
         return PromotionResult.NO_SAFE_SUCCESSOR
 
     async def has_primary_recovered(
-        self, health: PrimaryHealth, former_primary: list[PromotionParticipant]
+        self, health: PrimaryHealth, primary_participants: list[PromotionParticipant]
     ) -> bool:
-        """Return whether the primary that seemed lost is the primary after all."""
+        """Return whether the primary that seemed lost proves its role after all."""
         if health not in CLEARED_BY_PROOF:
             return False
-        for participant in former_primary:
+        for participant in primary_participants:
             if participant.link is None or not participant.link.is_open:
                 await participant.connect_directly(LOST_PRIMARY_TIMEOUT_S)
             else:
--- a/ebonyrack/requests/codec.py
+++ b/ebonyrack/requests/codec.py
@@ -21,7 +21,7 @@
     """A request that can't be parsed.
 
     Attributes:
-        request_id: The caller's id of it, as far as it could be read.
+        request_id: The caller's id of the request, if it could be read.
         reason: What is wrong with it.
         ends_session: Whether the rest of the stream can't be parsed either.
     """
@@ -43,10 +43,10 @@
         """Read the next request; None at the end of the session."""
 
     def encode_started(self) -> bytes:
-        """Return the answer to the start of a session that is opened."""
+        """Return the answer that confirms an opened session."""
 
     def encode_refusal(self, error: RequestError) -> bytes:
-        """Return the answer to the start of a session that is rejected."""
+        """Return the answer that rejects a session."""
 
     def encode_answer(self, answer: Answer) -> bytes:
         """Return the answer to a request."""
@@ -56,13 +56,13 @@
     """Protocol towards upstreams."""
 
     def encode_start(self, group: str, member_id: str) -> bytes:
-        """Return the start of a session with one upstream of a group."""
+        """Return the startup message for a session with one upstream of a group."""
 
     def encode_request(self, request: Request) -> bytes:
         """Return an encoded request."""
 
     async def read_reply(self, stream: LineStream) -> Reply:
-        """Read the reply to the oldest request without one."""
+        """Read the reply to the oldest unanswered request."""
 
     def read_status(self, reply: Reply) -> Result[UpstreamStatus, str]:
         """Read an upstream's status from a reply."""
--- a/ebonyrack/requests/reply.py
+++ b/ebonyrack/requests/reply.py
@@ -55,7 +55,7 @@
 
     Attributes:
         rows: Payload of each row, as the bytes received.
-        signature: The upstream's mark on a success; None after a rejection.
+        signature: The upstream's signature on success; None after a rejection.
         rejection: Reason of a rejection, or None.
         detail: Text of the rejection.
         state: State of the upstream's session afterwards.
@@ -99,7 +99,7 @@
 
     Attributes:
         rows: Payload of each row.
-        signature: The upstream's mark; None if the proxy itself answers.
+        signature: The upstream's signature; None if the proxy itself answers.
         error: Error with which the request failed, or None.
         state: State of the caller's session.
     """
--- a/ebonyrack/requests/request.py
+++ b/ebonyrack/requests/request.py
@@ -38,7 +38,7 @@
         request_id: The caller's id; None for a request that the proxy itself makes.
         text: The statement as sent by the caller, forwarded unchanged.
         name: Name of a session value or prepared statement.
-        argument: Value, shape, arguments or term, depending on the kind.
+        argument: Value, statement to prepare, arguments or term, depending on the kind.
         writes: Whether a prepared statement writes.
         minimum_position: Position that the upstream's log must hold, or None.
     """
--- a/ebonyrack/serving/reading.py
+++ b/ebonyrack/serving/reading.py
@@ -30,7 +30,7 @@
 # Pause after all upstreams lacked the position or rejected work; a replica applies a
 # commit in about this time. Each further pause is twice as long.
 ROUND_PAUSE_S = 0.01
-LONGEST_PAUSE_S = 0.1
+MAXIMUM_PAUSE_S = 0.1
 
 
 class ReadPlacement:
@@ -77,14 +77,14 @@
         Raises:
             RequestError: If none serves it within the time limit of the route.
         """
-        for number in range(MAXIMUM_ATTEMPTS):
+        for attempt in range(MAXIMUM_ATTEMPTS):
             self.statement.check_deadline(self.was_sent)
             member = await self.choose_member()
             reply = await self.try_member(member)
             if reply is None:
                 continue
             if reply.rejection is None:
-                self.log_placed(member, number)
+                self.log_placed(member, attempt)
                 return reply
             self.record_rejection(member, reply)
         raise self.build_failure()
@@ -128,7 +128,7 @@
     def compute_pause(self) -> float:
         """Return the pause before the next round, in seconds."""
         pause_s = ROUND_PAUSE_S * 2.0 ** max(0, self.rounds - 1)
-        return min(pause_s, LONGEST_PAUSE_S, max(0.0, self.statement.remaining_s))
+        return min(pause_s, MAXIMUM_PAUSE_S, max(0.0, self.statement.remaining_s))
 
     async def try_member(self, member: Member) -> Reply | None:
         """Run the read at one upstream.
@@ -209,7 +209,7 @@
             reason=reason,
         )
 
-    def log_placed(self, member: Member, number: int) -> None:
+    def log_placed(self, member: Member, attempt: int) -> None:
         """Log the placement of the served read and count it."""
         role = "primary" if member is self.statement.group.primary else "replica"
         metrics.placements.add(1, {"group": self.statement.group.name, "role": role})
@@ -224,7 +224,7 @@
             role=role,
             position=str(self.requirement.position),
             age_s=round(self.requirement.age_s, 3),
-            tries=number + 1,
+            tries=attempt + 1,
             queued_s=round(self.queued_s, 4),
             elapsed_s=round(elapsed_s, 4),
         )
--- a/ebonyrack/serving/services.py
+++ b/ebonyrack/serving/services.py
@@ -42,7 +42,8 @@
         route = self.routes.table.routes.get(database)
         if route is None:
             raise RequestError(
-                ErrorKind.UNKNOWN_GROUP, f"version {self.routes.table.version}"
+                ErrorKind.UNKNOWN_GROUP,
+                f"no route in version {self.routes.table.version}",
             )
         return route
 
--- a/ebonyrack/serving/session.py
+++ b/ebonyrack/serving/session.py
@@ -147,7 +147,7 @@
             ).info("transaction_ended")
 
     def close(self) -> None:
-        """Release the connection that the session holds."""
+        """Roll back the open transaction, if any, and release its connection."""
         if self.transaction is not None:
             self.transaction.release()
             self.transaction = None
@@ -197,7 +197,7 @@
 
 @REQUEST_HANDLERS.register(RequestKind.COMMIT)
 async def serve_commit(session: Session, request: Request) -> Answer:
-    """Commit the transaction; a failed one is rolled back."""
+    """Commit the transaction; raise if it has failed and was rolled back."""
     transaction = session.transaction
     assert transaction is not None
     session.transaction = None
--- a/ebonyrack/serving/statement.py
+++ b/ebonyrack/serving/statement.py
@@ -39,7 +39,7 @@
     """One statement of a caller that is being served.
 
     Attributes:
-        request: The statement, with the name of prepared statements at upstreams.
+        request: The request; it names a prepared statement as upstreams know it.
         prepared: The prepared statement that it executes, or None.
         route: Route of the session.
         group: Its database group.
@@ -118,7 +118,7 @@
         if was_sent:
             raise RequestError(ErrorKind.STATEMENT_TIMED_OUT)
         raise RequestError(
-            ErrorKind.WAIT_TOO_LONG, "the time limit of the route is over"
+            ErrorKind.WAIT_TOO_LONG, "the time limit of the route has passed"
         )
 
 
@@ -213,7 +213,7 @@
         group.record_not_primary(member)
 
 
-async def send_commit(
+async def send_committing_request(
     group: Group,
     member: Member,
     link: UpstreamLink,
--- a/ebonyrack/serving/transaction.py
+++ b/ebonyrack/serving/transaction.py
@@ -29,7 +29,7 @@
 from ebonyrack.serving.read_requirement import find_requirement
 from ebonyrack.serving.statement import Statement
 from ebonyrack.serving.statement import record_begin_reply
-from ebonyrack.serving.statement import send_commit
+from ebonyrack.serving.statement import send_committing_request
 from ebonyrack.serving.statement import set_up_session
 
 # Attempts at a first statement that was not run, at any of the upstreams.
@@ -109,7 +109,7 @@
         self.link = None
         if link is None or member is None:
             return
-        if link.is_clean or not link.is_open or link.due:
+        if link.is_clean or not link.is_open or link.outstanding_replies:
             member.pool.release(link)
             return
         task = asyncio.create_task(roll_back(member, link))
@@ -146,9 +146,9 @@
         """Begin at an upstream and run the first statement there."""
         reason = ""
         tried: set[str] = set()
-        for number in range(MAXIMUM_ATTEMPTS):
-            if number > 0:
-                await asyncio.sleep(RETRY_PAUSE_S * 2.0 ** (number - 1))
+        for attempt in range(MAXIMUM_ATTEMPTS):
+            if attempt > 0:
+                await asyncio.sleep(RETRY_PAUSE_S * 2.0 ** (attempt - 1))
             statement.check_deadline(was_sent=False)
             member = await self.choose_member(statement, tried)
             tried.add(member.member_id)
@@ -280,7 +280,7 @@
         while True:
             if is_commit and self.has_written:
                 assert self.member is not None
-                reply = await send_commit(
+                reply = await send_committing_request(
                     self.group,
                     self.member,
                     link,
--- a/ebonyrack/serving/writing.py
+++ b/ebonyrack/serving/writing.py
@@ -14,7 +14,7 @@
 from ebonyrack.requests.reply import RejectionKind
 from ebonyrack.requests.reply import Reply
 from ebonyrack.serving.statement import Statement
-from ebonyrack.serving.statement import send_commit
+from ebonyrack.serving.statement import send_committing_request
 from ebonyrack.serving.statement import set_up_session
 
 # Attempts at a write that was not run; a group that needs more is failing.
@@ -38,9 +38,9 @@
         RequestError: If it was not run, failed, or its outcome is not known.
     """
     reason = ""
-    for number in range(MAXIMUM_ATTEMPTS):
-        if number > 0:
-            await asyncio.sleep(RETRY_PAUSE_S * 2.0 ** (number - 1))
+    for attempt in range(MAXIMUM_ATTEMPTS):
+        if attempt > 0:
+            await asyncio.sleep(RETRY_PAUSE_S * 2.0 ** (attempt - 1))
         statement.check_deadline(was_sent=False)
         member = await statement.group.wait_for_primary(statement.deadline_s)
         reply = await try_primary(statement, member)
@@ -56,7 +56,7 @@
                 group=statement.group.name,
                 upstream=member.member_id,
                 position=str(reply.position),
-                tries=number + 1,
+                tries=attempt + 1,
                 elapsed_s=round(statement.elapsed_s, 4),
             )
             return reply
@@ -86,7 +86,7 @@
     try:
         await set_up_session(statement, link)
         is_sent = True
-        return await send_commit(
+        return await send_committing_request(
             statement.group,
             member,
             link,
