--- a/ebonyrack/failover/ballot.py
+++ b/ebonyrack/failover/ballot.py
@@ -75,7 +75,7 @@
         term: The term; unique to this ballot.
         preferred: Upstream to promote among equally advanced ones, or None.
         excluded: Upstream that must not be promoted, or None. It is fenced too, but
-            does not count toward the majority, so a write that only it holds was
+            does not count towards the majority, so a write that only it holds was
             never acknowledged.
         safeguards: Safety rules to enforce.
         on_promoted: Called as soon as the promotion has succeeded.
@@ -150,7 +150,7 @@
         """Record the duration of a step.
 
         Args:
-            name: Log field name of the step.
+            name: Log field name of the duration.
             started_s: Monotonic time at which the step began.
 
         Returns:
@@ -170,7 +170,7 @@
         self.lose()
 
     async def fence(self) -> None:
-        """Request a grant from every upstream until a majority or the timeout."""
+        """Request a grant from every upstream; wait for a majority or the timeout."""
         pending = {
             asyncio.create_task(self.request_grant(upstream))
             for upstream in self.group.upstreams.values()
--- a/ebonyrack/failover/bench_test.py
+++ b/ebonyrack/failover/bench_test.py
@@ -193,7 +193,7 @@
         return parse_position(answer.rows[0][0])
 
     async def write_until_acknowledged(self, request):
-        """Repeat a write under one key until it is acknowledged."""
+        """Retry a write until it is acknowledged or rejected as a duplicate."""
         for _ in range(400):
             try:
                 return await self.write(request)
@@ -262,7 +262,7 @@
         await until(self.is_converged)
 
     async def end_faults(self):
-        """End all faults of the upstreams; lag first, as sent entries keep theirs."""
+        """End all faults of the upstreams; lag first, as entries in flight keep it."""
         self.standins.set_lag(0.0)
         for name, upstream in self.standins.upstreams.items():
             if not upstream.is_running:
--- a/ebonyrack/failover/coordinator.py
+++ b/ebonyrack/failover/coordinator.py
@@ -176,7 +176,7 @@
             rank: Coordinator rank of this proxy.
         """
         if self.ballot_lock.locked():
-            # A switchover is running; its effects on the group are not failures.
+            # A switchover is running its ballot, whose effects are not failures.
             return
         failure = self.detector.assess_primary()
         if failure is not None:
@@ -253,7 +253,9 @@
         return vote.granted or witnessed
 
     async def wait_before_ballot(self, rank: int) -> bool:
-        """Wait for the rank's delay and the policy's, so that lower ranks act first.
+        """Wait until this rank may act and the acknowledge policy allows a promotion.
+
+        The delay of the rank lets lower ranks act first.
 
         Args:
             rank: Coordinator rank of this proxy.
@@ -282,7 +284,7 @@
         """Run one ballot in a new term.
 
         Args:
-            reason: Why, for the log.
+            reason: Reason that is logged.
             durations_s: Durations of the steps so far in seconds, by log field name;
                 those of the ballot are added.
             preferred: Upstream to promote among equally advanced ones, or None.
--- a/ebonyrack/failover/detector.py
+++ b/ebonyrack/failover/detector.py
@@ -133,13 +133,13 @@
             for upstream in self.group.upstreams.values()
             if upstream is not primary and upstream.counts_in_majority
         ]
-        silent = [upstream for upstream in replicas if self.is_cut_off(upstream)]
-        connected = len(replicas) - len(silent)
+        cut_off = [upstream for upstream in replicas if self.is_cut_off(upstream)]
+        connected = len(replicas) - len(cut_off)
         if connected + 1 >= self.group.majority or len(replicas) < self.group.majority:
             return None
         silence_s = min(
             upstream.status.silence_s or 0.0
-            for upstream in silent
+            for upstream in cut_off
             if upstream.status is not None
         )
         return PrimaryFailure(FailureReason.CUT_FROM_REPLICAS, now_s() - silence_s)
@@ -151,14 +151,14 @@
             Whether replicas that answer and are cut off from the primary are a
             majority of the group without it.
         """
-        silent = [
+        cut_off = [
             upstream
             for upstream in self.group.upstreams.values()
             if upstream.name != self.group.primary_name
             and upstream.counts_in_majority
             and self.is_cut_off(upstream)
         ]
-        return len(silent) >= self.group.majority
+        return len(cut_off) >= self.group.majority
 
     def is_cut_off(self, upstream: Upstream) -> bool:
         """Check whether a replica is cut off from the primary.
@@ -195,7 +195,7 @@
             fenced_term: Term that it granted.
 
         Returns:
-            Whether the grant was seen longer ago than a ballot takes.
+            Whether the grant was first seen longer ago than a ballot takes.
         """
         if len(self.fenced_since_s) > MAXIMUM_FENCES:
             self.fenced_since_s.clear()
--- a/ebonyrack/failover/failover_test.py
+++ b/ebonyrack/failover/failover_test.py
@@ -145,7 +145,7 @@
     assert bench.read_requests(proxy.group.primary_name) == ["r-0"]
 
 
-async def test_planned_switchover_cuts_no_write(start_bench):
+async def test_planned_switchover_interrupts_no_write(start_bench):
     bench = await start_bench(proxies=3)
     coordinator = bench.by_rank()[0].coordinator
     stop = asyncio.Event()
@@ -300,7 +300,7 @@
     await until(lambda: not proxy.group.upstreams["up-3"].pool.is_accepting)
 
 
-async def test_leaving_primary_without_a_successor_rejects_writes_in_the_end(
+async def test_leaving_primary_without_a_successor_rejects_writes_after_grace_period(
     start_bench,
 ):
     bench = await start_bench()
--- a/ebonyrack/failover/fault_matrix_test.py
+++ b/ebonyrack/failover/fault_matrix_test.py
@@ -72,7 +72,7 @@
     await standins.restart(name)
 
 
-async def thaw_later(standins, name):
+async def resume_later(standins, name):
     await asyncio.sleep(OUTAGE_S)
     standins.resume(name)
 
@@ -93,12 +93,12 @@
 def freeze_a_replica(injector):
     async def fault(ballot):
         injector.bench.standins.freeze("up-3")
-        injector.start(thaw_later(injector.bench.standins, "up-3"))
+        injector.start(resume_later(injector.bench.standins, "up-3"))
 
     injector.inject_before_step(fault)
 
 
-def thaw_the_old_primary(injector):
+def resume_the_old_primary(injector):
     async def fault(ballot):
         injector.bench.standins.resume("up-1")
 
@@ -156,7 +156,7 @@
     lose_calls,
     kill_a_replica,
     freeze_a_replica,
-    thaw_the_old_primary,
+    resume_the_old_primary,
     cut_the_replicas_apart,
     pause_until_another_has_won,
     start_a_competing_ballot,
@@ -289,7 +289,7 @@
         fault(injector)
         bench.standins.freeze("up-1")
         await until(lambda: injector.has_injected)
-        # A thawed up-1 with the longest log may be promoted again, so check the term.
+        # A resumed up-1 with the longest log may be promoted again, so check the term.
         await until(lambda: has_later_term(bench.standins))
         await callers.wait_for_writes(1)
         await asyncio.gather(*injector.tasks)
--- a/ebonyrack/failover/pre_vote.py
+++ b/ebonyrack/failover/pre_vote.py
@@ -75,10 +75,10 @@
     voters = [name for name in rank_members(group.name, names) if name != local_name]
     voters = voters[:MAXIMUM_VOTERS]
     message = AskPrimary(group.name, group.primary_name or "", term)
-    answers = await asyncio.gather(
+    replies = await asyncio.gather(
         *(request_vote(hub, name, message) for name in voters)
     )
-    opinions = [opinion for opinion in answers if opinion is not None]
+    opinions = [opinion for opinion in replies if opinion is not None]
     for opinion in opinions:
         group.record_primary(opinion.term, opinion.primary_name)
     reached = sum(opinion.reachable for opinion in opinions)
--- a/ebonyrack/failover/ranking.py
+++ b/ebonyrack/failover/ranking.py
@@ -12,7 +12,7 @@
 
 
 def rank_members(group_name: str, member_names: Iterable[str]) -> list[str]:
-    """Order proxies by rendezvous hash, so that a change of one reorders no others.
+    """Order proxies by rendezvous hash: adding or removing one reorders no others.
 
     Args:
         group_name: Name of the group.
--- a/ebonyrack/failover/reimaged_test.py
+++ b/ebonyrack/failover/reimaged_test.py
@@ -24,7 +24,7 @@
 
 
 async def start_with_reimaged_replica(start_bench, proxies=1):
-    """Empty the only replica that confirmed a write."""
+    """Start a bench; reimage the only replica that confirmed a write."""
     bench = await start_bench(proxies=proxies)
     proxy = bench.proxies["proxy-1"]
     position = await write_held_by(bench, proxy, "up-2")
--- a/ebonyrack/failover/renewal.py
+++ b/ebonyrack/failover/renewal.py
@@ -148,7 +148,7 @@
         due_at_s = self.fenced_above_since_s + grace_s
         if self.changes:
             due_at_s = max(due_at_s, self.changes[-1] + self.compute_pause(is_urgent))
-        # Without the rank's delay all coordinators would begin when the pause ends.
+        # Without the rank's delay all coordinators would begin together.
         return now_s() >= due_at_s + rank * RANK_DELAY_S
 
     def compute_pause(self, is_urgent: bool) -> float:
--- a/ebonyrack/failover/safeguards_test.py
+++ b/ebonyrack/failover/safeguards_test.py
@@ -27,7 +27,7 @@
 @pytest.mark.parametrize(
     ("policy", "kept"), [("majority", ["r-0"]), ("primary_alone", [])]
 )
-async def test_write_acknowledged_by_a_majority_survives_the_primary(
+async def test_write_acknowledged_by_a_majority_survives_loss_of_the_primary(
     start_bench, policy, kept
 ):
     bench, proxy = await start_with(
--- a/ebonyrack/failover/slowness.py
+++ b/ebonyrack/failover/slowness.py
@@ -15,8 +15,8 @@
     from ebonyrack.upstreams.upstream import Upstream
 
 RETRY_INTERVAL_S = 1.0
-# After this many attempts that failed, for instance because of open transactions, the
-# next one rolls those back.
+# After this many failed attempts, for instance because transactions stay open, the
+# next attempt rolls open transactions back.
 UNFORCED_ATTEMPTS = 3
 # Factor by which the pause after a change of term is longer than that of renewals.
 PAUSE_FACTOR = 5.0
--- a/ebonyrack/failover/switchover.py
+++ b/ebonyrack/failover/switchover.py
@@ -1,4 +1,4 @@
-"""Planned switchover: no acknowledged write is lost and no request is cut."""
+"""Planned switchover: no acknowledged write is lost and no request is interrupted."""
 
 from __future__ import annotations
 
@@ -133,7 +133,7 @@
         """Hold new writes, drain the primary, let the target catch up and promote it.
 
         Args:
-            reason: Why, for the log.
+            reason: Reason that is logged.
             primary: The current primary.
             target: The upstream to promote.
             forced: Whether to continue although transactions are still open.
@@ -184,8 +184,8 @@
         """Wait until no transaction of any proxy is open on the primary.
 
         Returns:
-            Whether all finished in time. An unreachable proxy is not waited for; the
-            fence rolls back its open transactions, which it reports as not run.
+            Whether all finished in time. An unreachable proxy is not waited for: the
+            fence rolls back its open transactions, which that proxy reports as not run.
         """
         message = HoldWrites(self.group.name, self.group.term, round(HOLD_S * 1000))
         drained = await asyncio.gather(
--- a/ebonyrack/routing/conftest.py
+++ b/ebonyrack/routing/conftest.py
@@ -52,7 +52,7 @@
         """Whether it may count in a majority."""
         return self.is_reachable and not self.is_regressed
 
-    def record_status(self, status: UpstreamStatus, asked_at_s: float) -> None:
+    def record_status(self, status: UpstreamStatus, poll_sent_at_s: float) -> None:
         """Store a status that was read on another connection."""
         self.status = status
 
--- a/ebonyrack/routing/idempotency.py
+++ b/ebonyrack/routing/idempotency.py
@@ -35,7 +35,7 @@
 
 
 def encode_text(text: str, limit: int) -> str:
-    """Encode a text so that it is safe in an SQL literal whatever it contains.
+    """Percent-encode a text so that it is safe in an SQL literal.
 
     Args:
         text: The text.
@@ -75,7 +75,7 @@
         connection: A connection to the primary, with an open transaction unless
             `begin` is given.
         key: The key.
-        timeout_s: Seconds for each of the two steps.
+        timeout_s: Timeout of each of the two queries, in seconds.
         begin: Statement that begins the transaction, sent in the same round trip;
             empty if one is open.
 
@@ -83,8 +83,8 @@
         Whether the request is the first with the key, or the recorded outcome.
 
     Raises:
-        RequestError: UNSUPPORTED if the key or the table does not allow it,
-            UPSTREAM_LOST if the upstream refuses; nothing was committed.
+        RequestError: UNSUPPORTED if the key is too long or the table can't be
+            used, UPSTREAM_LOST if the upstream refuses; nothing was committed.
         UpstreamLostError: If the upstream is lost.
     """
     literal = encode_text(key, MAXIMUM_KEY_BYTES)
@@ -109,13 +109,13 @@
     Args:
         connection: The connection that could not claim the key.
         literal: The key, encoded.
-        timeout_s: Seconds for the answer.
+        timeout_s: Timeout of the query, in seconds.
 
     Returns:
         The outcome.
 
     Raises:
-        RequestError: UNSUPPORTED if the table does not allow it, UPSTREAM_LOST if
+        RequestError: UNSUPPORTED if the table can't be used, UPSTREAM_LOST if
             the upstream refuses or the key expired.
         UpstreamLostError: If the upstream is lost.
     """
@@ -133,8 +133,8 @@
 def build_outcome_record(key: str, outcome: str) -> str:
     """Build the statement that records the outcome of a claimed key.
 
-    It is sent to the upstream together with the COMMIT, so it must not succeed without
-    effect: a row that the request itself has deleted is inserted again.
+    It is sent together with the COMMIT, so it must never succeed without recording the
+    outcome: a row that the request itself has deleted is inserted again.
 
     Args:
         key: The key, claimed in the open transaction.
@@ -165,7 +165,7 @@
     Args:
         connection: A connection to the primary outside of a transaction.
         retention_s: Seconds for which a key is kept.
-        timeout_s: Seconds for each of the two steps.
+        timeout_s: Timeout of each of the two queries, in seconds.
 
     Returns:
         Number of keys removed; call again while it is `DELETE_BATCH_ROWS`.
--- a/ebonyrack/routing/read_index.py
+++ b/ebonyrack/routing/read_index.py
@@ -26,11 +26,11 @@
     """A read index and the time when its round of polls started.
 
     Attributes:
-        asked_at_s: Monotonic time before the first poll of its round was sent.
+        poll_sent_at_s: Monotonic time before the first poll of its round was sent.
         position: Covers every write that was acknowledged before that time.
     """
 
-    asked_at_s: float
+    poll_sent_at_s: float
     position: LogPosition
 
 
@@ -43,18 +43,18 @@
 
     Attributes:
         group: The database group.
-        running: The round in flight, or None.
-        waiting: The round that begins after it, or None.
+        current_round: The latest round that has started, or None; it may have ended.
+        next_round: The round that begins after it, or None.
         history: Earlier indexes, oldest first.
-        has_overlapped_read: Whether an overlapped read is in flight, which has been
-            sent before its index is known.
+        has_overlapped_read: Whether a read is in flight that was sent before its
+            index was known.
         overlap_allowed_at_s: Monotonic time from which reads may be overlapped.
     """
 
     __slots__ = (
         "group",
-        "running",
-        "waiting",
+        "current_round",
+        "next_round",
         "history",
         "has_overlapped_read",
         "overlap_allowed_at_s",
@@ -62,15 +62,17 @@
 
     def __init__(self, group: DatabaseGroup) -> None:
         self.group = group
-        self.running: asyncio.Task[DatedIndex] | None = None
-        self.waiting: asyncio.Task[DatedIndex] | None = None
+        self.current_round: asyncio.Task[DatedIndex] | None = None
+        self.next_round: asyncio.Task[DatedIndex] | None = None
         self.history: deque[DatedIndex] = deque(maxlen=HISTORY_LENGTH)
         self.has_overlapped_read = False
         self.overlap_allowed_at_s = 0.0
 
     async def stop(self) -> None:
         """Cancel the rounds in flight."""
-        rounds = [task for task in (self.running, self.waiting) if task is not None]
+        rounds = [
+            task for task in (self.current_round, self.next_round) if task is not None
+        ]
         await end_tasks(rounds)
 
     async def fetch(self) -> LogPosition:
@@ -88,7 +90,7 @@
     def is_idle(self) -> bool:
         """Whether no round and no overlapped read is in flight."""
         return (
-            self.waiting is None
+            self.next_round is None
             and not self.has_overlapped_read
             and not self.is_running
         )
@@ -96,14 +98,14 @@
     @property
     def is_running(self) -> bool:
         """Whether a round is in flight."""
-        return self.running is not None and not self.running.done()
+        return self.current_round is not None and not self.current_round.done()
 
     def join_round(self) -> asyncio.Task[DatedIndex]:
         """Return a round that has not sent its polls yet, starting one if needed."""
-        if self.waiting is None:
-            self.waiting = asyncio.create_task(self.run_round(self.running))
-            self.waiting.add_done_callback(retrieve_error)
-        return self.waiting
+        if self.next_round is None:
+            self.next_round = asyncio.create_task(self.run_round(self.current_round))
+            self.next_round.add_done_callback(retrieve_error)
+        return self.next_round
 
     async def run_round(self, previous: asyncio.Task[DatedIndex] | None) -> DatedIndex:
         """Poll the upstreams after the previous round has ended.
@@ -119,9 +121,9 @@
         """
         if previous is not None:
             await asyncio.wait([previous])
-        self.running, self.waiting = self.waiting, None
-        asked_at_s = now_s()
-        index = DatedIndex(asked_at_s, await self.poll_majority())
+        self.current_round, self.next_round = self.next_round, None
+        poll_sent_at_s = now_s()
+        index = DatedIndex(poll_sent_at_s, await self.poll_majority())
         self.record_index(index)
         return index
 
@@ -139,14 +141,16 @@
         return await PollRound(group, upstreams, group.majority).collect()
 
     def record_index(self, index: DatedIndex) -> None:
-        """Keep an index for reads with a maximum staleness.
+        """Add an index to the history for reads with a maximum staleness.
+
+        An index within `HISTORY_INTERVAL_S` of the last one is not kept.
 
         Args:
             index: The index.
         """
         if self.history:
-            age_s = index.asked_at_s - self.history[-1].asked_at_s
-            if age_s < HISTORY_INTERVAL_S:
+            interval_s = index.poll_sent_at_s - self.history[-1].poll_sent_at_s
+            if interval_s < HISTORY_INTERVAL_S:
                 return
         self.history.append(index)
 
@@ -157,17 +161,17 @@
             earliest_s: Monotonic time.
 
         Returns:
-            The position; data that includes it lacks no write that was acknowledged
+            The position; data that covers it lacks no write that was acknowledged
             before that time. None if no index is recent enough.
         """
         for index in self.history:
-            if index.asked_at_s >= earliest_s:
+            if index.poll_sent_at_s >= earliest_s:
                 return index.position
         return None
 
 
 def retrieve_error(task: asyncio.Task[DatedIndex]) -> None:
-    """Mark the error of a round as retrieved, in case all of its readers have left.
+    """Mark the error of a round as retrieved, in case no reader waits for it any more.
 
     Args:
         task: The round.
--- a/ebonyrack/routing/read_index_test.py
+++ b/ebonyrack/routing/read_index_test.py
@@ -49,7 +49,7 @@
         group[name].may_answer.clear()
     async with ReadIndex(group) as index:
         early = asyncio.create_task(index.fetch())
-        while index.running is None:
+        while index.current_round is None:
             await asyncio.sleep(0)
         held = await group.write(5, "b", "c")
         late = [asyncio.create_task(index.fetch()) for _ in range(20)]
--- a/ebonyrack/routing/read_machine_test.py
+++ b/ebonyrack/routing/read_machine_test.py
@@ -88,8 +88,8 @@
     def write(self, proxy, session):
         self.count += 1
         value = f"r-{self.count}"
-        task = self.commit(self.proxies[proxy][0], value)
-        position = self.loop.run_until_complete(task)
+        committing = self.commit(self.proxies[proxy][0], value)
+        position = self.loop.run_until_complete(committing)
         if position is not None:
             self.acknowledged[value] = now_s()
             self.sessions[session].written.add(value)
@@ -202,8 +202,8 @@
     @rule(proxy=PROXIES, session=SESSIONS, age_s=AGES_S)
     def read_bounded_staleness(self, proxy, session, age_s):
         session = self.sessions[session]
-        limit_s = now_s() - age_s
-        older = {value for value, at_s in self.acknowledged.items() if at_s < limit_s}
+        cutoff_s = now_s() - age_s
+        older = {value for value, at_s in self.acknowledged.items() if at_s < cutoff_s}
         requirement = ReadRequirement(None, age_s, session.token)
         self.check_read(proxy, requirement, older | session.written)
 
--- a/ebonyrack/routing/read_overlap.py
+++ b/ebonyrack/routing/read_overlap.py
@@ -41,17 +41,17 @@
     Attributes:
         search: Search that the read would otherwise have started.
         replica: The replica.
-        asked_at_s: Monotonic time before any poll was sent.
-        others: Polls of the other upstreams, or None before `start`.
+        poll_sent_at_s: Monotonic time before any poll was sent.
+        poll_round: Polls of the other upstreams, or None before `start`.
     """
 
-    __slots__ = ("search", "replica", "asked_at_s", "others")
+    __slots__ = ("search", "replica", "poll_sent_at_s", "poll_round")
 
     def __init__(self, search: Search, replica: Upstream) -> None:
         self.search = search
         self.replica = replica
-        self.asked_at_s = search.started_s
-        self.others: PollRound | None = None
+        self.poll_sent_at_s = search.started_s
+        self.poll_round: PollRound | None = None
 
     def __enter__(self) -> Self:
         self.search.read_index.has_overlapped_read = True
@@ -73,8 +73,8 @@
             for upstream in group.upstreams.values()
             if upstream.name != self.replica.name
         ]
-        self.asked_at_s = now_s()
-        self.others = PollRound(group, others, group.majority - 1)
+        self.poll_sent_at_s = now_s()
+        self.poll_round = PollRound(group, others, group.majority - 1)
 
     async def validate(self, status: UpstreamStatus | None) -> ReadPlacement | None:
         """Check whether the data that the read sees covers what it must see.
@@ -87,20 +87,20 @@
             The placement, or None if the answer must not be used.
         """
         search = self.search
-        assert self.others is not None
+        assert self.poll_round is not None
         if status is None:
             self.log_dropped("no_status", None, None)
             return None
-        self.replica.record_status(status, self.asked_at_s)
+        self.replica.record_status(status, self.poll_sent_at_s)
         if self.replica.is_regressed:
             self.log_dropped("regressed", status, None)
             return None
         try:
-            index = max(status.received, await self.others.collect())
+            index = max(status.received, await self.poll_round.collect())
         except RequestError:
             self.log_dropped("no_majority", status, None)
             return None
-        search.read_index.record_index(DatedIndex(self.asked_at_s, index))
+        search.read_index.record_index(DatedIndex(self.poll_sent_at_s, index))
         minimum = max(index, search.requirement.own_writes)
         if not covers(status, search.group.term, minimum):
             self.log_dropped("not_reached", status, minimum)
--- a/ebonyrack/routing/read_overlap_test.py
+++ b/ebonyrack/routing/read_overlap_test.py
@@ -118,19 +118,19 @@
     assert choose(group, index) is None
 
 
-async def test_replicas_that_are_known_to_lag_are_not_overlapped(group, index):
+async def test_read_is_not_overlapped_while_replicas_are_known_to_lag(group, index):
     status = group["c"].status
     group["c"].status = replace(status, received=LogPosition(1, 2))
     assert choose(group, index) is None
 
 
 @pytest.mark.parametrize("policy", ["primary_only", "primary_after_write"])
-async def test_other_policies_are_not_overlapped(group, index, policy):
+async def test_read_is_not_overlapped_under_other_policies(group, index, policy):
     group.section = group.section.model_copy(update={"read_policy": policy})
     assert choose(group, index) is None
 
 
-async def test_larger_majority_is_not_overlapped(group, index):
+async def test_read_is_not_overlapped_with_a_larger_majority(group, index):
     group.majority = 3
     assert choose(group, index) is None
 
--- a/ebonyrack/routing/read_placement.py
+++ b/ebonyrack/routing/read_placement.py
@@ -91,9 +91,9 @@
 
 
 def log_placement(group: DatabaseGroup, placement: ReadPlacement) -> None:
-    """Count a placement, and log it once the current step of the request is done.
+    """Count a placement, and log it from a later callback of the event loop.
 
-    Writing the line takes longer than the decision and would delay the next send.
+    Writing the log line takes longer than the decision and would delay the next send.
 
     Args:
         group: The database group.
--- a/ebonyrack/routing/read_placement_test.py
+++ b/ebonyrack/routing/read_placement_test.py
@@ -134,7 +134,7 @@
     assert caught.value.retry_after_s > 0
 
 
-async def test_answers_of_replicas_are_held_with_a_larger_majority(group):
+async def test_replica_answers_are_held_back_with_a_larger_majority(group):
     group.majority = 3
     assert (await place(group)).hold_until_confirmed
 
--- a/ebonyrack/routing/read_round.py
+++ b/ebonyrack/routing/read_round.py
@@ -115,7 +115,7 @@
 def choose_first(
     group: DatabaseGroup, upstreams: list[Upstream], needed: int
 ) -> list[Upstream]:
-    """Choose the upstreams to poll at once.
+    """Choose the upstreams to poll first.
 
     Args:
         group: The database group.
--- a/ebonyrack/routing/read_search.py
+++ b/ebonyrack/routing/read_search.py
@@ -145,7 +145,7 @@
         The replica, or None.
     """
     reached = [item for item in find_replicas(search) if has_applied(item, minimum)]
-    return min(reached, key=measure_load, default=None)
+    return min(reached, key=rank_by_load, default=None)
 
 
 def has_applied(upstream: Upstream, minimum: LogPosition) -> bool:
@@ -158,15 +158,15 @@
     return upstream.status is not None and upstream.status.applied >= minimum
 
 
-def measure_load(upstream: Upstream) -> tuple[float, float]:
-    """Return the number of requests per connection of an upstream's pool.
+def rank_by_load(upstream: Upstream) -> tuple[float, float]:
+    """Return the sort key of an upstream by load; the least loaded comes first.
 
     Args:
         upstream: The upstream.
 
     Returns:
-        The load, and a random number that spreads requests over equally loaded
-        upstreams.
+        Requests per connection of its pool, and a random number that spreads
+        requests over equally loaded upstreams.
     """
     pool = upstream.pool
     load = (pool.busy_count + pool.waiting_count) / pool.limit
@@ -203,7 +203,7 @@
             reached = {task.result() for task in done} - {None}
             usable = [item for item in find_replicas(search) if item in reached]
             if usable:
-                return min(usable, key=measure_load)
+                return min(usable, key=rank_by_load)
     finally:
         await end_tasks(polls)
     return None
--- a/ebonyrack/routing/write_path.py
+++ b/ebonyrack/routing/write_path.py
@@ -127,7 +127,7 @@
 
 
 def check_write_admitted(group: DatabaseGroup) -> None:
-    """Refuse a write up front that could not be acknowledged.
+    """Refuse a write before it runs if it could not be acknowledged.
 
     Args:
         group: The group.
@@ -190,7 +190,7 @@
         group: The group.
         connection: Connection on which it was committed.
         position: Position of the commit.
-        policy_name: Policy under which it waited, whatever edits came meanwhile.
+        policy_name: Policy under which it waited, even if the group has another now.
         outcome: `acknowledged`, or the kind of the error.
         waited_s: Seconds for which it waited.
     """
