--- a/ebonyrack/entry/caller_connection.py
+++ b/ebonyrack/entry/caller_connection.py
@@ -18,8 +18,8 @@
 from ebonyrack.serving.services import Services
 from ebonyrack.serving.session import Session
 
-# Time that a new session waits for the first routes; callers give up a session whose
-# start takes 2 s.
+# Longest time that a new session waits for the first routes; callers abandon a session
+# that takes 2 s to start.
 ROUTES_TIMEOUT_S = 1.5
 ROUTES_POLL_INTERVAL_S = 0.02
 
@@ -158,7 +158,7 @@
         self.end_if_idle()
 
     def end_if_idle(self) -> bool:
-        """End the session if it is idle outside a transaction; return whether it is."""
+        """End the session if idle outside a transaction; return whether it was idle."""
         if self.session is None or not self.is_waiting:
             return False
         if self.session.state is not TransactionState.IDLE:
--- a/ebonyrack/entry/failures_test.py
+++ b/ebonyrack/entry/failures_test.py
@@ -12,7 +12,7 @@
 from ebonyrack.standins.line_system import LineSystem
 
 TIMEOUT_S = 8.0
-# Start time, on the boot clock, of a proxy that has been running for long.
+# Start time, on the boot clock, of a proxy that has been running for a long time.
 LONG_AGO_S = -1000.0
 
 
@@ -265,10 +265,10 @@
     await caller.execute("WRITE slot-1 mali")
     group = system.proxies[0].proxy.services.groups["scheduling"]
     group.primary.liveness.record_sent()
-    time_away_s = 1.2
+    pause_s = 1.2
     await asyncio.sleep(0)
     started_s = now_s()
-    while now_s() < started_s + time_away_s:
+    while now_s() < started_s + pause_s:
         pass
     await asyncio.sleep(0.5)
     assert system.group.promotions == []
@@ -286,10 +286,10 @@
         await asyncio.sleep(0.05)
 
 
-async def test_reads_use_another_upstream_while_one_refuses_connections(
+async def test_reads_use_the_primary_while_the_replicas_refuse_connections(
     system, connect
 ):
-    # Upstreams hold the connections of proxies that lost power for some time.
+    # For some time, upstreams keep connections of proxies that have lost power.
     for member_id in ("up-2", "up-3"):
         system.upstreams[member_id].faults.is_full = True
         await system.upstreams[member_id].stop()
@@ -303,8 +303,8 @@
 async def test_write_is_refused_at_once_without_a_connection_to_the_primary(
     system, connect
 ):
-    # Stale connections are held for longer than a caller waits, and other proxies
-    # have a connection.
+    # The primary keeps stale connections for longer than a caller waits; other proxies
+    # still have connections to it.
     upstream = system.upstreams["up-1"]
     group = system.proxies[0].proxy.services.groups["scheduling"]
     upstream.faults.is_full = True
@@ -414,10 +414,10 @@
     write = asyncio.create_task(caller.execute("WRITE slot-1 somchai"))
     await asyncio.sleep(0.05)
     group.position_history.clear()
-    asked_at_s = boot_time_s()
+    sent_at_s = boot_time_s()
     group.record_primary_reply(
         group.members["up-1"],
-        asked_at_s,
+        sent_at_s,
         system.group.members["up-1"].received_position,
     )
     system.group.promote("up-2")
--- a/ebonyrack/entry/listener.py
+++ b/ebonyrack/entry/listener.py
@@ -47,7 +47,7 @@
         self.idle_task: asyncio.Task[None] | None = None
 
     async def start(self) -> None:
-        """Start to listen."""
+        """Start to listen and to check for idle transactions."""
         address = self.services.settings.caller_address
         self.server = await asyncio.get_running_loop().create_server(
             lambda: LineStream(self.accept),
@@ -93,7 +93,7 @@
 
         New callers are accepted until the load balancer has noticed the shutdown; from
         then on sessions end between requests. Open transactions may continue for the
-        first half of the time.
+        first half of the grace period.
 
         Args:
             grace_s: Seconds until the process is killed.
--- a/ebonyrack/entry/primary_watch.py
+++ b/ebonyrack/entry/primary_monitor.py
@@ -1,4 +1,4 @@
-"""Monitors one group's primary: samples its log position, replaces a lost one."""
+"""Monitors one group's primary: samples its log position and replaces it if lost."""
 
 from __future__ import annotations
 
@@ -41,13 +41,13 @@
 # An upstream that has been silent this long is probed on another connection.
 PROBE_AFTER_SILENCE_S = 0.25
 # A check that is later than this shows that this process was paused; the silence of
-# upstreams is then measured from the beginning.
+# upstreams is then measured from the end of the pause.
 PAUSE_THRESHOLD_S = 0.3
 # Delay after a promotion attempt that did not produce a new primary.
 PROMOTION_RETRY_DELAY_S = 0.3
 
 
-class PrimaryWatch(Component):
+class PrimaryMonitor(Component):
     """Checks one group's primary continuously and replaces it when it is lost.
 
     Attributes:
@@ -81,7 +81,7 @@
         ]
 
     async def stop(self) -> None:
-        """Cancel all tasks, also the probes in flight."""
+        """Cancel all tasks, including the probes in flight."""
         await end_tasks([*self.tasks, *self.probes.values()])
 
     async def check_forever(self) -> None:
@@ -108,7 +108,7 @@
         return self.group.position_history.measure_age(boot_time_s()) > limit_s
 
     def handle_pause(self, pause_s: float) -> None:
-        """Measure silence from the beginning after a pause of this process."""
+        """Restart the measurement of silence after a pause of this process."""
         if pause_s == 0.0:
             return
         logger.bind(group=self.group.name, away_s=round(pause_s, 3)).warning(
@@ -149,7 +149,7 @@
         task.add_done_callback(lambda _: self.probes.pop(member.member_id, None))
 
     async def probe(self, member: Member) -> None:
-        """Ask an upstream whether it is the primary; record the answer in the group."""
+        """Probe whether an upstream is the primary; record its reply in the group."""
         try:
             link = await member.pool.acquire(PROBE_CALLER, now_s() + PROBE_TIMEOUT_S)
         except (RequestError, UpstreamLostError) as error:
@@ -158,7 +158,7 @@
             ).debug("probe_not_sent")
             return
         try:
-            reply, asked_at_s = await link.probe_primary(PROBE_TIMEOUT_S)
+            reply, sent_at_s = await link.probe_primary(PROBE_TIMEOUT_S)
         except (UpstreamLostError, ReplyTimeoutError) as error:
             logger.bind(
                 group=self.group.name, upstream=member.member_id, reason=repr(error)
@@ -167,7 +167,7 @@
         finally:
             member.pool.release(link)
         member.record_position(reply.position)
-        record_begin_reply(self.group, member, reply, asked_at_s)
+        record_begin_reply(self.group, member, reply, sent_at_s)
 
     async def replace_forever(self) -> None:
         """Replace a lost or leaving primary, until cancelled."""
--- a/ebonyrack/entry/route_proxy.py
+++ b/ebonyrack/entry/route_proxy.py
@@ -18,7 +18,7 @@
 from ebonyrack.core.tasks import start_loop
 from ebonyrack.entry.listener import BALANCER_REMOVAL_S
 from ebonyrack.entry.listener import Listener
-from ebonyrack.entry.primary_watch import PrimaryWatch
+from ebonyrack.entry.primary_monitor import PrimaryMonitor
 from ebonyrack.members.directory import DecodeEntry
 from ebonyrack.members.directory import UpstreamDirectory
 from ebonyrack.members.group import Group
@@ -43,12 +43,13 @@
 DOCUMENT_WATCH_S = 25.0
 # An upstream that is leaving keeps serving for at least twice as long.
 ENTRIES_READ_INTERVAL_S = 3.0
-# Connection shares are recomputed within this time and the pools' own limits. A list
-# of proxies that is some seconds old is recent enough, because proxies that have gone
-# are counted for longer than that.
+# Connection shares follow a change of the proxies within this time; until then the
+# pools keep their limits. A list of proxies that is some seconds old is recent enough,
+# because proxies that have gone are counted for longer than that.
 PROXIES_READ_INTERVAL_S = 10.0
-# A proxy that gets no answer from the store and from a primary for this long counts as
-# isolated; the store is queried at least every 2 s, a primary several times a second.
+# A proxy counts as isolated once it has reached neither the store nor some group's
+# primary for this long; the store is queried at least every 2 s, a primary several
+# times a second.
 ISOLATED_AFTER_S = 1.0
 # Weight in the queues by priority of the route, 0 the highest; all others weigh 1.
 PRIORITY_WEIGHTS = {0: 8, 1: 4, 2: 2}
@@ -98,7 +99,7 @@
         store_availability: Whether the store answers.
         followers: Apply changes of entries, routes and proxies in the store.
         listener: Accepts callers' connections.
-        watches: Monitor of each group's primary, by name of the group.
+        primary_monitors: Monitor of each group's primary, by name of the group.
         isolated_since_s: Time since which the proxy is isolated, or None; reset to the
             current time whenever idle sessions are closed.
         discovery_completed: Whether all upstreams have once had time to be discovered.
@@ -147,7 +148,7 @@
             ),
         )
         self.listener = Listener(self.services, dependencies.caller_codec)
-        self.watches: dict[str, PrimaryWatch] = {}
+        self.primary_monitors: dict[str, PrimaryMonitor] = {}
         self.discovery_completed = False
         self.isolated_since_s: float | None = None
         self.stack = AsyncExitStack()
@@ -213,8 +214,8 @@
         """Stop all components."""
         await end_tasks([self.monitor_task])
         await self.stack.aclose()
-        for watch in self.watches.values():
-            await watch.stop()
+        for monitor in self.primary_monitors.values():
+            await monitor.stop()
         for group in self.services.groups.values():
             await group.stop()
         logger.info("proxy_stopped")
@@ -261,9 +262,9 @@
             )
             groups[name] = group
             await self.directory.add_group(group)
-            await self.start_watch(group)
+            await self.start_primary_monitor(group)
         for name in set(groups) - set(table.groups):
-            await self.watches.pop(name).stop()
+            await self.primary_monitors.pop(name).stop()
             await groups.pop(name).stop()
         self.update_connection_shares()
         weights = {
@@ -273,7 +274,7 @@
         for group in groups.values():
             group.set_weights(weights)
 
-    async def start_watch(self, group: Group) -> None:
+    async def start_primary_monitor(self, group: Group) -> None:
         """Start to monitor a group's primary."""
         promoter = Promoter(
             group,
@@ -281,9 +282,9 @@
             self.dependencies.orders,
             self.settings.name,
         )
-        watch = PrimaryWatch(group, promoter, self.is_discovery_complete)
-        self.watches[group.name] = watch
-        await watch.start()
+        monitor = PrimaryMonitor(group, promoter, self.is_discovery_complete)
+        self.primary_monitors[group.name] = monitor
+        await monitor.start()
 
     def is_discovery_complete(self) -> bool:
         """Whether every live upstream has had time to be discovered.
--- a/ebonyrack/pooling/admission.py
+++ b/ebonyrack/pooling/admission.py
@@ -23,8 +23,8 @@
         caller: Name of the requesting application.
         deadline_s: Monotonic time at which the request gives up.
         number: Sequence number of its arrival.
-        granted: Future that the grant completes with the value handed over; None
-            until the request is queued.
+        granted: Future resolved to what the request is granted; None until the request
+            is queued.
     """
 
     __slots__ = ("caller", "deadline_s", "number", "granted")
@@ -173,7 +173,7 @@
             fail_waiter(waiter, build_error())
 
     def make_room(self, caller: str, servers: int) -> None:
-        """Refuse the newest waiter of the application with the most waiters.
+        """Refuse the newest waiter of the application with the most for its weight.
 
         Args:
             caller: Application of the request that needs room in the queue.
@@ -186,9 +186,9 @@
         name = self.find_fullest()
         fullest = self.callers[name]
         caller_queue = self.callers.get(caller)
-        held = len(caller_queue.waiters) if caller_queue is not None else 0
+        waiting_count = len(caller_queue.waiters) if caller_queue is not None else 0
         load = len(fullest.waiters) / fullest.weight
-        if (held + 1) / self.weights.get(caller, 1) >= load:
+        if (waiting_count + 1) / self.weights.get(caller, 1) >= load:
             raise self.build_refusal(ErrorKind.QUEUE_FULL, "", servers)
         self.refuse_newest(name, servers)
 
--- a/ebonyrack/pooling/admission_test.py
+++ b/ebonyrack/pooling/admission_test.py
@@ -74,8 +74,8 @@
             add(queue, "booking")
         except RequestError:
             break
-    held = {name: len(item.waiters) for name, item in queue.callers.items()}
-    assert held == {"booking": 75, "calendar": 25}
+    waiting = {name: len(item.waiters) for name, item in queue.callers.items()}
+    assert waiting == {"booking": 75, "calendar": 25}
 
 
 async def test_request_is_refused_when_expected_wait_exceeds_deadline(queue):
@@ -113,7 +113,7 @@
     for _ in range(100):
         with pytest.raises(RequestError):
             add(queue, "booking")
-    queue.estimator.next_retry_s -= LONG_WAIT_S
+    queue.estimator.last_retry_at_s -= LONG_WAIT_S
     with pytest.raises(RequestError) as caught:
         add(queue, "booking")
     assert caught.value.retry_after_s < 0.1
--- a/ebonyrack/pooling/connection_opener.py
+++ b/ebonyrack/pooling/connection_opener.py
@@ -59,7 +59,7 @@
         finally:
             self.attempts.discard(attempt)
         if attempt.cancelled():
-            raise build_not_accepting(self.address)
+            raise build_not_accepting_error(self.address)
         return attempt.result()
 
     def cancel_attempts(self) -> None:
@@ -80,10 +80,10 @@
         attempt.result().close()
 
 
-def build_not_accepting(address: Address) -> UpstreamLostError:
+def build_not_accepting_error(address: Address) -> UpstreamLostError:
     """Build the error for requests to a pool that accepts no new work.
 
     Args:
         address: Address of the upstream.
     """
-    return UpstreamLostError(f"{address} takes no new work")
+    return UpstreamLostError(f"{address} accepts no new work")
--- a/ebonyrack/pooling/pool.py
+++ b/ebonyrack/pooling/pool.py
@@ -19,7 +19,7 @@
 from ebonyrack.pooling.connection_opener import Connect
 from ebonyrack.pooling.connection_opener import Connection
 from ebonyrack.pooling.connection_opener import ConnectionOpener
-from ebonyrack.pooling.connection_opener import build_not_accepting
+from ebonyrack.pooling.connection_opener import build_not_accepting_error
 from ebonyrack.pooling.pool_slots import PoolSlots
 from ebonyrack.pooling.pooled_connection import QueueSettings
 from ebonyrack.pooling.upstream_lost import UpstreamLostError
@@ -57,7 +57,7 @@
         self.opener = ConnectionOpener(address, connect)
 
     async def stop(self) -> None:
-        """Refuse new work and close every connection, also those in use."""
+        """Refuse new work and close every connection, including those in use."""
         self.stop_new_work()
         self.size_limit.stop_raising()
         self.concurrency_limit.stop_raising()
@@ -118,7 +118,7 @@
     def check_accepting(self) -> None:
         """Raise UpstreamLostError while the pool accepts no new work."""
         if not self.is_accepting:
-            raise build_not_accepting(self.address)
+            raise build_not_accepting_error(self.address)
 
     def grant_slots(self) -> None:
         """Serve waiters as long as there are free slots."""
@@ -190,7 +190,8 @@
             had refused the connection.
 
         Raises:
-            RequestError: WAIT_TOO_LONG if the upstream has no connection to spare.
+            RequestError: WAIT_TOO_LONG if the upstream has no connection to spare;
+                QUEUE_FULL if the queue has filled up meanwhile.
             UpstreamLostError: If the upstream can't be reached.
         """
         try:
@@ -232,11 +233,15 @@
         self.refused_at_s = now_s()
         self.size_limit.record_refusal(self.open_count)
         logger.bind(address=str(self.address), limit=self.current_limit).warning(
-            "upstream refused a connection"
+            "connection_limit_lowered"
         )
 
     def record_overload(self) -> None:
-        """Halve the concurrency limit, as the upstream refused a statement unrun."""
+        """Lower the concurrency limit after the upstream refused a statement.
+
+        It refuses a statement without executing it while its own queue is full. The
+        limit becomes half the number of connections on which it works.
+        """
         self.concurrency_limit.record_refusal(max(1, self.working_count // 2))
 
     async def wait_for_release(self, waiter: Waiter) -> Connection | None:
@@ -255,13 +260,13 @@
         """
         self.check_accepting()
         if self.open_count == 0:
-            self.queue.fail_all(self.build_no_connection)
-            raise self.build_no_connection()
+            self.queue.fail_all(self.build_no_connection_error)
+            raise self.build_no_connection_error()
         self.queue.requeue(waiter, self.servers)
         self.grant_slots()
         return await self.wait_for_grant(waiter)
 
-    def build_no_connection(self) -> RequestError:
+    def build_no_connection_error(self) -> RequestError:
         """Build the refusal for an upstream that has no connection to spare."""
         return self.queue.build_refusal(
             ErrorKind.WAIT_TOO_LONG, "the upstream has no connection to spare", 1
@@ -301,7 +306,7 @@
         self.is_accepting = False
         self.opener.cancel_attempts()
         self.close_idle()
-        self.queue.fail_all(lambda: build_not_accepting(self.address))
+        self.queue.fail_all(lambda: build_not_accepting_error(self.address))
 
     def resume_new_work(self) -> None:
         """Accept new work again."""
--- a/ebonyrack/pooling/pool_slots.py
+++ b/ebonyrack/pooling/pool_slots.py
@@ -9,8 +9,8 @@
 from ebonyrack.pooling.connection_limit import ConnectionLimit
 from ebonyrack.pooling.connection_opener import Connection
 
-# Connections above the limit while transactions are idle. The shares of all proxies
-# leave some of the connections that an upstream accepts.
+# Connections above the limit while transactions are idle. An upstream accepts some more
+# connections than the shares of all proxies add up to.
 MAXIMUM_OVERFLOW_CONNECTIONS = 1
 
 
@@ -110,8 +110,7 @@
 
         This is allowed while a transaction is idle; otherwise callers that begin, write
         and then stay idle would block all others. The extra connection is closed when
-        it is released. An upstream that has just refused a connection gets no request
-        for one.
+        it is released. None is opened shortly after the upstream has refused one.
         """
         if now_s() - self.refused_at_s < REFUSAL_HOLD_S:
             return False
@@ -170,9 +169,9 @@
             kept: Number of connections that stay open however long they are unused.
             unused_s: Seconds without use after which others are closed.
         """
-        limit_s = now_s() - unused_s
+        cutoff_s = now_s() - unused_s
         while self.idle and self.open_count > kept:
-            if self.idle_since_s.get(self.idle[0], 0.0) > limit_s:
+            if self.idle_since_s.get(self.idle[0], 0.0) > cutoff_s:
                 return
             self.close_oldest_idle()
 
--- a/ebonyrack/pooling/wait_estimator.py
+++ b/ebonyrack/pooling/wait_estimator.py
@@ -11,25 +11,26 @@
 SERVICE_SMOOTHING = 0.1
 MINIMUM_RETRY_S = 0.02
 MAXIMUM_RETRY_S = 10.0
+# Upper bound of the jitter, as a fraction of the retry-after time.
 RETRY_JITTER = 0.25
-# Lower bound of the jitter of retry-after times that are capped at the maximum, so that
-# these callers are spread over more of it.
+# Lower bound of the jitter of a retry-after time that is capped at the maximum, which
+# spreads these callers over a longer time.
 MINIMUM_CAPPED_JITTER = -0.5
 
 
 class WaitEstimator:
-    """Service time of one kind of requests; several queues may share it.
+    """Waits and retry times for one kind of request; several queues may share it.
 
     Attributes:
         service_s: Moving average of how long a connection is held, in seconds.
-        next_retry_s: Monotonic time of the last retry assigned.
+        last_retry_at_s: Monotonic time of the latest retry that was assigned.
     """
 
-    __slots__ = ("service_s", "next_retry_s")
+    __slots__ = ("service_s", "last_retry_at_s")
 
     def __init__(self) -> None:
         self.service_s = INITIAL_SERVICE_S
-        self.next_retry_s = 0.0
+        self.last_retry_at_s = 0.0
 
     def record_service_time(self, held_s: float) -> None:
         """Update the average with the time for which a connection was held.
@@ -61,10 +62,10 @@
         """
         now = now_s()
         earliest_s = now + MINIMUM_RETRY_S + self.estimate_wait(waiting, servers)
-        next_s = max(earliest_s, self.next_retry_s) + self.estimate_wait(1, servers)
-        self.next_retry_s = min(next_s, now + MAXIMUM_RETRY_S)
+        next_s = max(earliest_s, self.last_retry_at_s) + self.estimate_wait(1, servers)
+        self.last_retry_at_s = min(next_s, now + MAXIMUM_RETRY_S)
         spread = (
-            0.0 if next_s == self.next_retry_s else MINIMUM_CAPPED_JITTER,
+            0.0 if next_s == self.last_retry_at_s else MINIMUM_CAPPED_JITTER,
             RETRY_JITTER,
         )
-        return (self.next_retry_s - now) * (1 + random.uniform(*spread))
+        return (self.last_retry_at_s - now) * (1 + random.uniform(*spread))
--- a/ebonyrack/upstreams/authentication.py
+++ b/ebonyrack/upstreams/authentication.py
@@ -47,7 +47,7 @@
 
 
 async def read_startup_message(frames: FrameTransport) -> Message:
-    """Read the next message of the startup phase, skipping notices.
+    """Read the next message of the startup phase, skipping notices and negotiation.
 
     Args:
         frames: The connection.
--- a/ebonyrack/upstreams/confirmation.py
+++ b/ebonyrack/upstreams/confirmation.py
@@ -25,7 +25,7 @@
         position: Position of the commit.
 
     Returns:
-        Whether it is confirmed; on False the caller tries again.
+        Whether it is confirmed; on False the caller retries.
 
     Raises:
         RequestError: UPSTREAM_LOST if a change of primary has discarded the commit.
@@ -48,7 +48,7 @@
         position: Position of the commit.
 
     Returns:
-        Whether it does and a majority holds it; on False the caller tries again.
+        Whether it does and a majority holds it; on False the caller retries.
 
     Raises:
         RequestError: UPSTREAM_LOST if a majority holds a log of this term without it.
--- a/ebonyrack/upstreams/confirmation_tracker.py
+++ b/ebonyrack/upstreams/confirmation_tracker.py
@@ -35,7 +35,7 @@
     """Pending writes of one term and the log offset that each replica has received.
 
     A replica is counted only while it follows the term and has granted no higher
-    one: its grant to any later ballot then reports at least what it holds now. Within
+    one: when it grants a later term, it then reports at least what it holds now. Within
     the term a replica keeps what it has received, so its highest report counts.
 
     Attributes:
--- a/ebonyrack/upstreams/contract.py
+++ b/ebonyrack/upstreams/contract.py
@@ -29,7 +29,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HoldsResult:
-    """Result of a query whether a log has an entry.
+    """Result of a query for whether a log has an entry.
 
     Attributes:
         held: Whether the entry of that term is at that offset.
@@ -102,7 +102,7 @@
         return "SELECT ebonyrack_last_commit()"
 
     def build_holds(self, position: LogPosition) -> str:
-        """Build the query whether the log has the entry of a position."""
+        """Build the query for whether the log has the entry at a position."""
         return f"SELECT * FROM ebonyrack_holds({position.term}, {position.offset})"
 
     def parse_status(self, row: tuple[str | None, ...]) -> UpstreamStatus:
@@ -141,7 +141,7 @@
         return parse_position(received)
 
     def parse_holds(self, row: tuple[str | None, ...]) -> HoldsResult:
-        """Parse the row of a query whether the log has an entry.
+        """Parse the row of a query for whether the log has an entry.
 
         Raises:
             ValueError: If the row is malformed.
--- a/ebonyrack/upstreams/monitor.py
+++ b/ebonyrack/upstreams/monitor.py
@@ -17,14 +17,14 @@
 
 # Poll interval of a proxy that is no coordinator and has no recent requests.
 IDLE_POLL_INTERVAL_S = 2.0
-# Poll interval of a proxy that is no coordinator but has recent requests; it is told
-# of a new primary by the coordinators.
+# Poll interval of a proxy that is no coordinator but has recent requests; the
+# coordinators notify it of a new primary.
 ACTIVE_POLL_INTERVAL_S = 0.2
 # Multiples of the probe interval at which the first coordinator polls replicas, and at
 # which the other coordinators poll every upstream: the first one decides about health,
 # and the others act only after it.
 REPLICA_INTERVAL_FACTOR = 2
-STANDBY_INTERVAL_FACTOR = 4
+OTHER_COORDINATOR_INTERVAL_FACTOR = 4
 CONFIRMATION_POLL_WAIT_S = 0.5
 # Every event that ends an idle wait is signalled; the limit only guards against a bug.
 MAXIMUM_IDLE_WAIT_S = 10.0
@@ -65,7 +65,7 @@
         await self.upstream.stop()
 
     async def poll_forever(self) -> None:
-        """Poll the upstream forever, at the interval that the group needs."""
+        """Poll the upstream until cancelled, at the interval that the group needs."""
         while True:
             self.wake.clear()
             started_s = now_s()
@@ -93,13 +93,13 @@
             )
             return factor * group.section.probe_interval_s
         if group.coordinator_rank is not None:
-            return STANDBY_INTERVAL_FACTOR * group.section.probe_interval_s
+            return OTHER_COORDINATOR_INTERVAL_FACTOR * group.section.probe_interval_s
         if group.has_recent_requests:
             return max(ACTIVE_POLL_INTERVAL_S, group.section.probe_interval_s)
         return IDLE_POLL_INTERVAL_S
 
     async def keep_warm(self) -> None:
-        """Keep a connection open forever, as the upstream is or may become primary.
+        """Keep a connection open, as the upstream is or may become primary.
 
         This is a separate task, so that polls go on and detect a failure while the
         opening of a connection hangs.
@@ -114,7 +114,7 @@
             await self.group.changed.wait(WARM_CHECK_INTERVAL_S)
 
     async def poll_for_confirmations(self) -> None:
-        """Poll a replica forever for the positions that pending writes wait for."""
+        """Poll a replica until cancelled, for the positions that writes wait for."""
         upstream, group = self.upstream, self.group
         while True:
             confirmations = group.confirmations
--- a/ebonyrack/upstreams/pool_machine_test.py
+++ b/ebonyrack/upstreams/pool_machine_test.py
@@ -64,11 +64,11 @@
         section = GroupSection(owner="database", upstreams=(), queue_limit=6)
         self.pool = ConnectionPool(Address("127.0.0.1", 1), section, 2)
         self.pool.queue.weights = {"booking": 3}
-        self.opens = []
+        self.pending_opens = []
         self.requests = []
         self.held = []
         logger.disable(pool_module.__name__)
-        self.allowed = 2
+        self.allowed_open_count = 2
         self.original_open_connection = postgresql_pool.open_connection
         postgresql_pool.open_connection = self.open_connection
 
@@ -77,11 +77,11 @@
 
     async def open_connection(self, *arguments):
         gate = self.loop.create_future()
-        self.opens.append(gate)
+        self.pending_opens.append(gate)
         try:
             return await gate
         finally:
-            self.opens.remove(gate)
+            self.pending_opens.remove(gate)
 
     def run_loop(self):
         async def step():
@@ -118,14 +118,14 @@
     @rule(caller=CALLERS)
     def acquire_and_open(self, caller):
         self.acquire(caller)
-        for gate in self.opens:
+        for gate in self.pending_opens:
             gate.set_result(FakeConnection())
         self.run_loop()
 
-    @precondition(lambda self: self.opens)
+    @precondition(lambda self: self.pending_opens)
     @rule(data=st.data(), outcome=st.sampled_from(["opened", "opened", "lost", "full"]))
     def finish_open(self, data, outcome):
-        gate = data.draw(st.sampled_from(self.opens))
+        gate = data.draw(st.sampled_from(self.pending_opens))
         if outcome == "opened":
             gate.set_result(FakeConnection())
         else:
@@ -202,11 +202,11 @@
     @invariant()
     def connections_are_counted_and_limited(self):
         pool = self.pool
-        assert pool.opening == len(self.opens)
+        assert pool.opening == len(self.pending_opens)
         assert set(pool.busy) == set(self.held)
         assert all(connection.users == 1 for connection in self.held)
-        assert pool.open_count <= max(self.allowed, pool.limit)
-        self.allowed = max(pool.open_count, pool.limit)
+        assert pool.open_count <= max(self.allowed_open_count, pool.limit)
+        self.allowed_open_count = max(pool.open_count, pool.limit)
         if pool.open_count > pool.limit:
             assert not pool.idle
 
@@ -232,7 +232,9 @@
             for connection in self.held:
                 self.pool.release(connection)
             assert self.pool.busy_count == 0 and self.pool.waiting_count == 0
-            assert self.pool.open_count == len(self.pool.idle) <= self.allowed
+            assert (
+                self.pool.open_count == len(self.pool.idle) <= self.allowed_open_count
+            )
         finally:
             logger.enable(pool_module.__name__)
             self.pool.size_limit.stop_raising()
--- a/ebonyrack/upstreams/pool_test.py
+++ b/ebonyrack/upstreams/pool_test.py
@@ -55,9 +55,9 @@
         broken.close()
         pool.release(broken)
         assert pool.queue.estimator.service_s == before_s
-        whole = await acquire(pool)
-        pool.busy[whole] -= 60
-        pool.release(whole)
+        intact = await acquire(pool)
+        pool.busy[intact] -= 60
+        pool.release(intact)
         assert pool.queue.estimator.service_s > 1
 
 
@@ -130,7 +130,7 @@
         assert cancelled.cancelled()
         assert pool.open_count == 1
         pool.stop_new_work()
-        with pytest.raises(UpstreamLostError, match="takes no new work"):
+        with pytest.raises(UpstreamLostError, match="accepts no new work"):
             await opening
         assert pool.open_count == 0
     for writer in sessions:
--- a/ebonyrack/upstreams/position_waits.py
+++ b/ebonyrack/upstreams/position_waits.py
@@ -21,7 +21,7 @@
     from ebonyrack.upstreams.contract import EbonyrackContract
     from ebonyrack.upstreams.status import UpstreamStatus
 
-# Longest wait of one call. Both kinds of waits share one connection, so a call must
+# Longest wait of one poll. Both kinds of waits share one connection, so a poll must
 # not occupy it for long. Waits for a received position may be longer, as they decide
 # how soon a write is acknowledged.
 RECEIVED_WAIT_LIMIT_S = 0.05
@@ -50,22 +50,22 @@
 class PositionWaits:
     """The pending waits for log positions of one upstream.
 
-    One call is in flight at a time, for the lowest pending position of one kind; its
+    One poll is in flight at a time, for the lowest pending position of one kind; its
     result resolves every wait that it covers.
 
     Attributes:
         control: A separate connection, so that waits do not delay plain polls.
-        contract: Builds the calls and parses their results.
-        answer_timeout_s: Seconds that a result may take beyond the wait itself.
+        contract: Builds the polls and parses their results.
+        reply_timeout_s: Seconds that a result may take beyond the wait itself.
         on_status: Called with each status and the time at which its poll was sent.
         heaps: Pending waits, by whether they are for the received position.
-        task: The task that makes the calls, or None.
+        task: The task that sends the polls, or None.
     """
 
     __slots__ = (
         "control",
         "contract",
-        "answer_timeout_s",
+        "reply_timeout_s",
         "on_status",
         "heaps",
         "task",
@@ -78,12 +78,12 @@
         self,
         control: ControlConnection,
         contract: EbonyrackContract,
-        answer_timeout_s: float,
+        reply_timeout_s: float,
         on_status: Callable[[UpstreamStatus, float], None],
     ) -> None:
         self.control = control
         self.contract = contract
-        self.answer_timeout_s = answer_timeout_s
+        self.reply_timeout_s = reply_timeout_s
         self.on_status = on_status
         self.heaps: dict[bool, list[PositionWait]] = {True: [], False: []}
         self.task: asyncio.Task[None] | None = None
@@ -129,12 +129,12 @@
         self.wake.set()
 
     async def run(self) -> None:
-        """Make calls until there has been no wait for `IDLE_TIMEOUT_S`."""
+        """Send polls until there has been no wait for `IDLE_TIMEOUT_S`."""
         while True:
             self.wake.clear()
             entry = self.choose_next()
             if entry is not None:
-                await self.make_call(*entry)
+                await self.send_poll(*entry)
                 continue
             try:
                 async with asyncio.timeout(IDLE_TIMEOUT_S):
@@ -158,8 +158,8 @@
                 return heap[0], received
         return None
 
-    async def make_call(self, entry: PositionWait, received: bool) -> None:
-        """Make one call and resolve the waits that its result covers.
+    async def send_poll(self, entry: PositionWait, received: bool) -> None:
+        """Send one poll and resolve the waits that its result covers.
 
         Args:
             entry: The wait with the lowest position.
@@ -170,7 +170,7 @@
         poll_sent_at_s = now_s()
         sql = self.contract.build_poll(entry.position, wait_ms, received)
         try:
-            result = await self.control.query(sql, wait_limit_s + self.answer_timeout_s)
+            result = await self.control.query(sql, wait_limit_s + self.reply_timeout_s)
             status = self.contract.parse_status(result.rows[0])
         except (UpstreamLostError, ValueError) as error:
             self.fail_all(UpstreamLostError(str(error)))
--- a/ebonyrack/upstreams/status.py
+++ b/ebonyrack/upstreams/status.py
@@ -22,7 +22,7 @@
     Attributes:
         role: Whether it accepts writes or follows a primary.
         term: Term in which it is primary, or term of the primary it follows.
-        fenced_term: Highest term that it has granted to a ballot.
+        fenced_term: Highest term that it has granted.
         received: Position of the last entry in its log.
         applied: Position of the last entry visible to reads.
         leaving: Whether it is about to leave the group.
--- a/ebonyrack/upstreams/transport.py
+++ b/ebonyrack/upstreams/transport.py
@@ -49,7 +49,7 @@
         super().__init__(READ_BUFFER_BYTES)
 
     def build_lost_error(self, reason: str) -> UpstreamLostError:
-        """Build the error that is raised to readers and writers after the end."""
+        """Build the error for readers and writers of an ended connection."""
         return UpstreamLostError(reason)
 
     def close(self, reason: str) -> None:
--- a/ebonyrack/upstreams/upstream.py
+++ b/ebonyrack/upstreams/upstream.py
@@ -155,7 +155,7 @@
 
     @property
     def is_slow(self) -> bool:
-        """Whether all polls have been slow for `slow_after_s`."""
+        """Whether the series of slow polls is long enough, in number and in time."""
         if self.slow_since_s is None or self.slow_poll_count < MINIMUM_SLOW_POLLS:
             return False
         slow_for_s = (self.answered_at_s or 0.0) - self.slow_since_s
@@ -278,7 +278,7 @@
         return status
 
     def record_poll_time(self, duration_s: float) -> None:
-        """Record the duration of a plain poll; one in time ends a series of slow polls.
+        """Record the duration of a plain poll; one that is not slow ends a slow series.
 
         Args:
             duration_s: Seconds between the poll and its reply.
@@ -395,7 +395,7 @@
         self.pool.section = section
         self.control.section = section
         self.position_waits.control.section = section
-        self.position_waits.answer_timeout_s = section.suspect_after_s
+        self.position_waits.reply_timeout_s = section.suspect_after_s
 
     def set_leaving(self, leaving: bool) -> None:
         """Mark it as leaving or not.
@@ -437,10 +437,10 @@
     def compute_pool_limit(self) -> int:
         """Return the number of connections available to callers' transactions."""
         is_primary = self.status is not None and self.status.role is Role.PRIMARY
-        control = (
+        control_connections = (
             PRIMARY_CONTROL_CONNECTIONS if is_primary else REPLICA_CONTROL_CONNECTIONS
         )
-        return max(1, self.connection_limit - control)
+        return max(1, self.connection_limit - control_connections)
 
 
 def do_nothing(upstream: Upstream) -> None:
--- a/ebonyrack/upstreams/upstream_test.py
+++ b/ebonyrack/upstreams/upstream_test.py
@@ -13,7 +13,7 @@
 from ebonyrack.upstreams.upstream import Upstream
 
 
-class CountingControl(ControlConnection):
+class RecordingControl(ControlConnection):
     """Records the queries that it runs."""
 
     def __init__(self, address, section):
@@ -56,10 +56,10 @@
     assert len(sent) == 2
 
 
-async def test_one_call_resolves_every_wait_that_it_covers(standins):
+async def test_one_poll_resolves_every_wait_that_it_covers(standins):
     section = standins.section()
     async with Upstream(section.upstreams[1], section, 6) as replica:
-        replica.position_waits.control = CountingControl(replica.spec.address, section)
+        replica.position_waits.control = RecordingControl(replica.spec.address, section)
         waits = [
             asyncio.create_task(replica.poll(LogPosition(1, 1), 5.0, received=True))
             for _ in range(10)
@@ -105,7 +105,7 @@
     upstream.record_status(promoted, now_s())
     upstream.record_status(replace(old, role=Role.REPLICA), poll_sent_at_s)
     assert upstream.status == promoted
-    # A status polled for later is accepted: the upstream was set up again.
+    # A lower term is accepted from a later poll: the upstream was set up again.
     upstream.record_status(old, now_s())
     assert upstream.status == old
 
