--- a/ebonyrack/config/authentication.py
+++ b/ebonyrack/config/authentication.py
@@ -97,9 +97,10 @@
         return ScramMechanism(MECHANISM).make_server(find_keys)
 
     def is_authenticated(self, link: PeerLink, name: str) -> bool:
-        """Return whether the other side of a link is an operator.
+        """Return whether the other side of a link is the operator with a name.
 
-        An operator without a verifier is trusted because it knows the shared secret.
+        If the document has no verifier for the name, the shared secret, which every
+        link requires, suffices.
         """
         if link.remote is None or link.remote.role != OPERATOR_ROLE:
             return False
--- a/ebonyrack/config/edit_check.py
+++ b/ebonyrack/config/edit_check.py
@@ -56,7 +56,7 @@
 
 
 def find_conflict(edit: Edit, stored: StoredDocument) -> Refused | None:
-    """Refuse an edit of sections that another one changed since its base."""
+    """Return a refusal if a section was changed since the base of the edit."""
     sections = split_sections(stored.text)
     differences = []
     reasons = []
--- a/ebonyrack/config/edit_test.py
+++ b/ebonyrack/config/edit_test.py
@@ -239,12 +239,12 @@
     edit = change(state, "user = booking", "user = new")
     outcome = await apply(store, state, edit)
     assert isinstance(outcome, expected)
-    is_held = store.documents[-1].find_edit("edit-1") is not None
+    is_recorded = store.documents[-1].find_edit("edit-1") is not None
     if isinstance(outcome, Accepted):
-        assert is_held
+        assert is_recorded
         assert state.revision == outcome.revision
     if isinstance(outcome, NotAccepted):
-        assert not is_held
+        assert not is_recorded
     store.apply_late_swaps()
     # The operator repeats the edit with the same identity.
     repeated = await apply(store, state, replace(edit, is_repeat=True))
--- a/ebonyrack/config/fault_matrix_test.py
+++ b/ebonyrack/config/fault_matrix_test.py
@@ -19,7 +19,7 @@
 from ebonyrack.peers.member import MemberState
 from ebonyrack.standins.control_plane import wait_until
 
-STEPS = ["read", "check", "swap", "answer", "spread", "swap_in"]
+STEPS = ["read", "check", "swap", "answer", "announce", "apply"]
 FAULTS = ["down", "slow", "lost", "stale", "killed", "frozen", "cut", "rival"]
 FAULT_S = 0.4
 FREEZE_S = 1.0
@@ -38,7 +38,7 @@
         for plane in fleet.planes:
             seen = self.revisions[plane.name]
             plane.state.subscribe(
-                lambda document, to=seen: to.append(document.revision)
+                lambda document, seen=seen: seen.append(document.revision)
             )
 
     def build_recorder(self, name):
@@ -94,13 +94,13 @@
             return
         owner, name = {
             "check": (edit_attempt, "check_edit"),
-            "spread": (first.hub, "send_to_links"),
-            "swap_in": (self.third.state.__class__, "apply_if_newer"),
+            "announce": (first.hub, "send_to_links"),
+            "apply": (self.third.state.__class__, "apply_if_newer"),
         }[step]
         function = getattr(owner, name)
 
         def function_with_fault(*arguments):
-            is_other = step == "swap_in" and arguments[0] is not self.third.state
+            is_other = step == "apply" and arguments[0] is not self.third.state
             if not is_other and self.action is not None:
                 self.start_task(self.trigger_fault())
             return function(*arguments)
--- a/ebonyrack/config/leaving_vms.py
+++ b/ebonyrack/config/leaving_vms.py
@@ -56,10 +56,10 @@
         """
         before = self.names
         answer = await self.vm_list.watch(wait_s)
-        return answer.map(lambda listing: self.apply_listing(listing, before))
+        return answer.map(lambda listing: self.announce_if_changed(listing, before))
 
-    def apply_listing(self, listing: VmListing, before: frozenset[str]) -> bool:
-        """Notify peers and subscribers if the set of leaving VMs changed."""
+    def announce_if_changed(self, listing: VmListing, before: frozenset[str]) -> bool:
+        """Announce a changed set of leaving VMs; return whether there is a list."""
         if listing.leaving != before:
             self.hub.broadcast(self.build_news())
             self.notify_subscribers()
--- a/ebonyrack/config/references.py
+++ b/ebonyrack/config/references.py
@@ -68,7 +68,7 @@
     if is_set and group.slow_answer_s >= group.suspect_after_s:
         yield (
             "slow_answer_s",
-            f"must be below suspect_after_s ({group.suspect_after_s}); 0 is off",
+            f"must be below suspect_after_s ({group.suspect_after_s}); 0 disables it",
         )
 
 
--- a/ebonyrack/config/upstream_change.py
+++ b/ebonyrack/config/upstream_change.py
@@ -11,7 +11,7 @@
     from ebonyrack.config.sections import GroupSection
     from ebonyrack.config.stored import EditRecord
 
-# A proxy that had no contact for this long has stopped taking new work.
+# A proxy that had no contact for this long is cut off and rejects new work.
 PROPAGATION_LIMIT_S = 30
 
 
--- a/ebonyrack/config/watch.py
+++ b/ebonyrack/config/watch.py
@@ -114,7 +114,7 @@
 
     @property
     def is_cut_off(self) -> bool:
-        """Whether the document is unverified or contact was lost for the set time."""
+        """Whether the document is unverified or the last contact is too long ago."""
         if not self.verification.is_verified:
             return True
         return self.silence_s > self.settings.peers.cut_off_after_s
--- a/ebonyrack/config/watch_test.py
+++ b/ebonyrack/config/watch_test.py
@@ -16,7 +16,7 @@
 from ebonyrack.standins.key_value import Node
 
 
-async def accept(plane, old="", new="", edit_id="first"):
+async def apply_edit(plane, old="", new="", edit_id="first"):
     base = plane.state.stored if old else EMPTY_STORED
     wanted = base.text.replace(old, new) if old else TEXT
     edit = build_edit(edit_id, "ada", base, wanted)
@@ -30,8 +30,10 @@
     for _ in range(4):
         await fleet.add()
     await fleet.wait_until_connected()
-    await fleet.wait_for_revision(await accept(fleet.planes[2]))
-    revision = await accept(fleet.planes[3], "user = booking", "user = new", "second")
+    await fleet.wait_for_revision(await apply_edit(fleet.planes[2]))
+    revision = await apply_edit(
+        fleet.planes[3], "user = booking", "user = new", "second"
+    )
     await fleet.wait_for_revision(revision)
     assert len({plane.state.stored for plane in fleet.planes}) == 1
 
@@ -44,19 +46,19 @@
     assert len(watchers) == 2
     assert len({plane.settings.proxy.data_centre for plane in watchers}) == 2
     # A change written directly to the store arrives through the watchers.
-    stored = pack_stored(DirectEdit(3).stored)
+    stored = pack_stored(StoredRevision(3).stored)
     fleet.platform.state.put("ebonyrack/document", stored, None, 0)
     await fleet.wait_for_revision(3)
 
 
-class DirectEdit:
+class StoredRevision:
     def __init__(self, revision):
         self.stored = type(EMPTY_STORED)(revision, TEXT, ())
 
 
 async def test_a_proxy_starts_from_a_peer_while_the_store_is_down(fleet):
     first = await fleet.add()
-    revision = await accept(first)
+    revision = await apply_edit(first)
     await fleet.platform.stop()
     late = await fleet.add("late")
     await fleet.wait_for_revision(revision)
@@ -65,14 +67,14 @@
 
 async def test_revision_never_decreases_after_a_restart_or_a_stale_read(fleet):
     first = await fleet.add()
-    await accept(first)
-    await accept(first, "user = booking", "user = new", "second")
+    await apply_edit(first)
+    await apply_edit(first, "user = booking", "user = new", "second")
     fleet.platform.stale_reads = 3
     late = await fleet.add("late")
     await fleet.wait_for_revision(2)
     seen = []
     late.state.subscribe(lambda document: seen.append(document.revision))
-    old = DirectEdit(1).stored
+    old = StoredRevision(1).stored
     assert not late.state.apply_if_newer(old, "peer")
     fleet.platform.state.put("ebonyrack/document", pack_stored(old), None, 0)
     await wait_until(lambda: first.store.calls["watch"] > 2)
@@ -84,7 +86,7 @@
     first = await fleet.add()
     second = await fleet.add("second")
     await fleet.wait_until_connected()
-    await accept(first)
+    await apply_edit(first)
     await fleet.platform.stop()
     await wait_until(lambda: now_s() - first.store.answered_at_s > 0.7)
     # Only the store is down, so the proxies still have contact.
@@ -97,7 +99,7 @@
 
 async def test_a_proxy_alone_with_an_unchanged_store_is_not_cut_off(fleet):
     plane = await fleet.add()
-    await accept(plane)
+    await apply_edit(plane)
     reads = plane.store.calls["get"]
     cut_off = []
 
@@ -112,12 +114,12 @@
 @pytest.mark.parametrize("has_peer", [True, False])
 async def test_document_is_verified_after_a_long_pause(fleet, has_peer):
     first = await fleet.add()
-    await accept(first)
+    await apply_edit(first)
     if has_peer:
         await fleet.add("second")
         await fleet.wait_until_connected()
     # Contact before the pause doesn't count, even while nobody replies now.
-    held = first.hub.links.copy()
+    links_before = first.hub.links.copy()
     if not has_peer:
         fleet.platform.is_down = True
     first.hub.heartbeat.pause_detector.schedule(-3.0)
@@ -126,13 +128,13 @@
     assert not first.watch.verification.is_verified
     fleet.platform.is_down = False
     await wait_until(lambda: not first.watch.is_cut_off)
-    assert held.keys() == first.hub.links.keys()
+    assert links_before.keys() == first.hub.links.keys()
 
 
 @pytest.mark.parametrize("fault", ["stopped", "is_down", "delay_s"])
 async def test_failing_watches_back_off(fleet, fault):
     plane = await fleet.add()
-    await accept(plane)
+    await apply_edit(plane)
     if fault == "stopped":
         await fleet.platform.stop()
     else:
@@ -153,7 +155,7 @@
     fleet.platform.delay_s = 0.0
     if fault == "stopped":
         await fleet.platform.start()
-    revision = await accept(plane, "user = booking", "user = new", "second")
+    revision = await apply_edit(plane, "user = booking", "user = new", "second")
     await fleet.wait_for_revision(revision)
 
 
@@ -178,17 +180,17 @@
     first = await fleet.add()
     second = await fleet.add()
     await fleet.wait_until_connected()
-    await fleet.wait_for_revision(await accept(first))
+    await fleet.wait_for_revision(await apply_edit(first))
     other = type(EMPTY_STORED)(1, TEXT + "# drifted\n", ())
     second.state.stored = other
-    revision = await accept(first, "user = booking", "user = new", "second")
+    revision = await apply_edit(first, "user = booking", "user = new", "second")
     await fleet.wait_for_revision(revision)
     assert second.state.stored == first.state.stored
 
 
 async def test_invalid_document_is_not_requested_again(fleet):
     first = await fleet.add()
-    await accept(first)
+    await apply_edit(first)
     bad = type(EMPTY_STORED)(9, "[colour red]\nx = 1\n", ())
     assert not first.state.apply_if_newer(bad, "peer")
     assert first.state.revision == 1
@@ -200,11 +202,11 @@
     first = await fleet.add(watchers=1)
     second = await fleet.add(watchers=1)
     await fleet.wait_until_connected()
-    await fleet.wait_for_revision(await accept(first))
+    await fleet.wait_for_revision(await apply_edit(first))
     watcher = first if first.watch.is_watcher else second
     other = second if watcher is first else first
     watcher.hub.send_to_links = lambda message, source: None
     async with asyncio.timeout(10):
-        await accept(watcher, "user = booking", "user = new", "second")
+        await apply_edit(watcher, "user = booking", "user = new", "second")
     assert Heartbeat in other.hub.handlers
     await fleet.wait_for_revision(2)
--- a/ebonyrack/core/clock.py
+++ b/ebonyrack/core/clock.py
@@ -37,7 +37,7 @@
         self.expected_s = self.read_clock() + delay_s
 
     def measure_pause(self) -> float:
-        """Return by how many seconds the wake-up came late, 0 within the limit."""
+        """Return how late the wake-up was, in seconds; 0 within the limit."""
         if self.expected_s is None:
             return 0.0
         lateness_s = self.read_clock() - self.expected_s
--- a/ebonyrack/core/line_stream.py
+++ b/ebonyrack/core/line_stream.py
@@ -9,7 +9,7 @@
 from ebonyrack.core.address import Address
 from ebonyrack.core.connection_stream import ConnectionStream
 
-# Longest line with its end; the supported protocols allow no longer messages.
+# Longest line without its line feed; the supported protocols allow no longer messages.
 MAXIMUM_LINE_BYTES = 1024 * 1024
 READ_BUFFER_BYTES = 256 * 1024
 # Size of the send buffer above which writers wait for the other side.
@@ -94,7 +94,7 @@
         """Wait for the next whole line.
 
         Raises:
-            StreamLostError: If the connection ended before a whole line came.
+            StreamLostError: If the connection ended before a whole line arrived.
             LineTooLongError: If the line exceeds the limit.
         """
         while True:
--- a/ebonyrack/core/log_writer.py
+++ b/ebonyrack/core/log_writer.py
@@ -23,7 +23,7 @@
         lines: Queued lines.
         dropped: Lines dropped since the last report because the queue was full.
         has_lines: Wakes the thread.
-        has_stopped: Set when the thread should end once all lines are written.
+        stop_requested: Set when the thread should end once all lines are written.
         thread: Writes the lines.
     """
 
@@ -32,7 +32,7 @@
         "lines",
         "dropped",
         "has_lines",
-        "has_stopped",
+        "stop_requested",
         "thread",
     )
 
@@ -41,7 +41,7 @@
         self.lines: deque[str] = deque()
         self.dropped = 0
         self.has_lines = threading.Event()
-        self.has_stopped = threading.Event()
+        self.stop_requested = threading.Event()
         self.thread = threading.Thread(target=self.write_forever, daemon=True)
 
     def start(self) -> None:
@@ -54,7 +54,7 @@
         Args:
             limit_s: Seconds after which the remaining lines are abandoned.
         """
-        self.has_stopped.set()
+        self.stop_requested.set()
         self.has_lines.set()
         self.thread.join(limit_s)
 
@@ -71,10 +71,10 @@
         """Write queued lines until stopped (runs in the thread)."""
         while True:
             self.has_lines.wait()
-            if not self.has_stopped.wait(BATCH_S):
+            if not self.stop_requested.wait(BATCH_S):
                 self.has_lines.clear()
             self.write_queued()
-            if self.has_stopped.is_set() and not self.lines:
+            if self.stop_requested.is_set() and not self.lines:
                 return
 
     def write_queued(self) -> None:
@@ -91,7 +91,7 @@
             try:
                 data = data[os.write(self.descriptor, data) :]
             except BlockingIOError:
-                self.has_stopped.wait(BATCH_S)
+                self.stop_requested.wait(BATCH_S)
             except OSError:
                 # The reader is gone, and there is no other place to report it.
                 return
--- a/ebonyrack/core/notifier.py
+++ b/ebonyrack/core/notifier.py
@@ -6,7 +6,7 @@
 
 
 class Notifier:
-    """Wakes all waiting tasks with each notification, which is not stored.
+    """Wakes all waiting tasks; notifications are not stored for later ones.
 
     Attributes:
         waiters: One future for each waiting task.
--- a/ebonyrack/core/settings_test.py
+++ b/ebonyrack/core/settings_test.py
@@ -1,7 +1,7 @@
 from ebonyrack.core.address import Address
 from ebonyrack.core.settings import parse_settings
 
-GOOD = """
+VALID_TEXT = """
 [proxy]
 name = proxy-1
 data_centre = bangkok-1
@@ -16,14 +16,14 @@
 
 
 def test_valid_settings_are_parsed():
-    settings, errors = parse_settings(GOOD, "proxy.ini")
+    settings, errors = parse_settings(VALID_TEXT, "proxy.ini")
     assert errors == ()
     assert settings.proxy.caller_address == Address("127.0.1.1", 6432)
     assert len(settings.peers.seeds) == 2
 
 
 def test_every_error_is_reported_with_section_and_key():
-    text = GOOD.replace("127.0.1.1:6432", "somewhere").replace("name =", "nome =")
+    text = VALID_TEXT.replace("127.0.1.1:6432", "somewhere").replace("name =", "nome =")
     settings, errors = parse_settings(text + "[extra]\nx = 1\n", "proxy.ini")
     assert settings is None
     locations = {(error.section, error.key) for error in errors}
--- a/ebonyrack/core/tasks.py
+++ b/ebonyrack/core/tasks.py
@@ -27,7 +27,7 @@
 
 
 def start_loop(run: Callable[[], Awaitable[None]]) -> asyncio.Task[None]:
-    """Start a background loop that is logged and restarted when it fails.
+    """Start a background loop whose failures are logged and that is then restarted.
 
     Args:
         run: The loop, which ends only by being cancelled.
--- a/ebonyrack/peers/codec_test.py
+++ b/ebonyrack/peers/codec_test.py
@@ -15,8 +15,8 @@
 from ebonyrack.peers.message import Message
 from ebonyrack.peers.message import register_message
 
-# Fields are encoded by position: processes of two releases understand each other
-# only while a code keeps its name and the order of its fields.
+# Fields are encoded by position: processes of two releases are compatible only while
+# each code keeps its message type and the order of its fields.
 WIRE_FORMAT = {
     1: "Hello version role member nonce",
     2: "Proof digest",
--- a/ebonyrack/peers/failure_detector.py
+++ b/ebonyrack/peers/failure_detector.py
@@ -40,7 +40,7 @@
         hub.register_handler(AskReach, self.receive_reach_request)
 
     def record_lateness(self, lateness_s: float) -> None:
-        """Record how late this process serves its own timers."""
+        """Record how late a timer of this process fired."""
         self.lateness_s = max(lateness_s, self.lateness_s * LATENESS_DECAY)
 
     def check_members(self) -> None:
--- a/ebonyrack/peers/frames.py
+++ b/ebonyrack/peers/frames.py
@@ -69,7 +69,7 @@
         self.writer = writer
         self.traffic = traffic
         self.last_received_at_s = now_s()
-        # Small reads keep data after the handshake out of the small first buffer.
+        # Small reads, so that data after the handshake doesn't overflow the buffer.
         self.read_bytes = HANDSHAKE_READ_BYTES
         self.unpacker = msgpack.Unpacker(max_buffer_size=HANDSHAKE_FRAME_BYTES)
 
--- a/ebonyrack/peers/heartbeat.py
+++ b/ebonyrack/peers/heartbeat.py
@@ -195,8 +195,9 @@
         """Exchange whole tables with a peer whose digest differs.
 
         Updates are lost when a link ends before they are sent, so a lasting
-        difference leads to an exchange soon, then ever more rarely: with many
-        proxies some change is always in progress, and a table is large.
+        difference leads to an exchange. Without a full mesh, the interval between
+        exchanges doubles each time: with many proxies some change is always in
+        progress, and a table is large.
         """
         self.synced_at_s = now_s()
         try:
--- a/ebonyrack/peers/hub_test.py
+++ b/ebonyrack/peers/hub_test.py
@@ -42,8 +42,8 @@
 
 def build_settings(name, seeds=(), secret=SECRET):
     text = TEXT.format(name=name, seeds=" ".join(map(str, seeds)), secret=secret)
-    settings, faults = parse_settings(text, name)
-    assert faults == ()
+    settings, errors = parse_settings(text, name)
+    assert errors == ()
     return settings
 
 
--- a/ebonyrack/peers/link.py
+++ b/ebonyrack/peers/link.py
@@ -173,7 +173,7 @@
             logger.opt(exception=error).error("message_handler_failed")
             reply = Failure(f"the handler failed: {error!r}")
         if correlation > 0:
-            self.send(reply or Failure("no answer"), -correlation)
+            self.send(reply or Failure("no reply"), -correlation)
 
     def send(self, message: Message, correlation: int = 0) -> None:
         """Queue a message; the link ends if too much is queued already.
--- a/ebonyrack/peers/link_messages.py
+++ b/ebonyrack/peers/link_messages.py
@@ -1,4 +1,4 @@
-"""Messages of the link protocol itself, and the one that carries others."""
+"""Messages of the link protocol, and `Flood`, which carries other messages."""
 
 from __future__ import annotations
 
--- a/ebonyrack/peers/member.py
+++ b/ebonyrack/peers/member.py
@@ -50,7 +50,7 @@
 
 
 def is_live(member: Member) -> bool:
-    """Return whether a member takes work; a suspect one does until it is dead."""
+    """Return whether a member accepts work; a suspect one does until it is dead."""
     return member.state in (MemberState.ALIVE, MemberState.SUSPECT)
 
 
--- a/ebonyrack/peers/member_messages.py
+++ b/ebonyrack/peers/member_messages.py
@@ -54,6 +54,6 @@
 
 @register_message(15)
 class Leaving(Message):
-    """Announcement of a proxy that shuts down and takes no new work from now on."""
+    """Announcement of a proxy that shuts down and accepts no new work from now on."""
 
     member: MemberField
--- a/ebonyrack/peers/membership.py
+++ b/ebonyrack/peers/membership.py
@@ -77,7 +77,7 @@
     Attributes:
         local: Description of this proxy.
         entries: The other proxies by name.
-        live_count: Number of proxies that take work, this one included.
+        live_count: Number of proxies that accept work, this one included.
         callbacks: Called with a member after each change of its description.
     """
 
@@ -92,8 +92,8 @@
     )
 
     def __init__(self, settings: ProxySettings, address: Address) -> None:
-        # Wall-clock time only makes a higher first incarnation likely; a member
-        # that still starts too low learns it from its peers and increases its own.
+        # After a restart, wall-clock time only makes a higher incarnation likely. If it
+        # is still too low, `refute` increases it once a peer sends the higher one.
         self.local = Member(
             name=settings.name,
             address=address,
@@ -125,7 +125,7 @@
         self.callbacks.append(callback)
 
     def live_members(self) -> tuple[Member, ...]:
-        """Return the proxies that take work, this one included, sorted by name.
+        """Return the proxies that accept work, this one included, sorted by name.
 
         A suspect member counts until it is dead; a leaving one doesn't.
         """
@@ -134,7 +134,7 @@
         return self.cached_live
 
     def list_live(self) -> tuple[Member, ...]:
-        """List the proxies that take work, sorted by name."""
+        """List the proxies that accept work, sorted by name."""
         live = [
             entry.member for entry in self.entries.values() if is_live(entry.member)
         ]
@@ -266,7 +266,7 @@
 
         Args:
             name: Its name.
-            interval_s: Seconds to its next heartbeat, if it announced them.
+            interval_s: Seconds to its next heartbeat, if it announced that.
         """
         entry = self.entries.get(name)
         if entry is None:
@@ -276,7 +276,7 @@
             entry.interval_s = interval_s
 
     def stop_monitoring(self, name: str) -> None:
-        """Expect no more heartbeats of a member; its neighbours monitor it."""
+        """Expect no more heartbeats from a member; its neighbours monitor it."""
         entry = self.entries.get(name)
         if entry is not None:
             entry.last_contact_at_s = None
--- a/ebonyrack/peers/operator_messages.py
+++ b/ebonyrack/peers/operator_messages.py
@@ -28,7 +28,7 @@
     Attributes:
         proxy: Its name.
         revision: Revision of the document that it runs.
-        is_cut_off: Whether it takes no new work because it is cut off.
+        is_cut_off: Whether it accepts no new work because it is cut off.
         members: Members that it knows.
         groups: Group name to what the proxy knows of the group.
         sessions: One entry for each caller's session, if requested.
@@ -44,12 +44,12 @@
 
 @register_message(42)
 class DrainRequest(Message):
-    """An operator's order to a proxy to shut down gracefully."""
+    """An operator's command to a proxy to shut down gracefully."""
 
 
 @register_message(43)
 class SwitchoverRequest(Message):
-    """An operator's order to move a primary to a replica; any if `to` is empty."""
+    """An operator's command to promote the replica `to`, or any if it is empty."""
 
     group: str
     to: str = ""
@@ -57,7 +57,7 @@
 
 @register_message(44)
 class CommandReply(Message):
-    """Outcome of an operator's order."""
+    """Outcome of an operator's command."""
 
     succeeded: bool
     text: str
--- a/ebonyrack/peers/shares.py
+++ b/ebonyrack/peers/shares.py
@@ -19,14 +19,14 @@
 class ShareCount(Component):
     """Counts the proxies that share connections: an async context manager.
 
-    A proxy that was lost without announcing it counts for `LOST_SHARE_HOLD_S` more,
-    since the upstream may not have noticed yet. While most of the recently known
-    proxies are lost, this one may be the one that is cut off; it then leaves them
-    half of the shares.
+    A proxy that was lost without announcing that it leaves is counted for another
+    `LOST_SHARE_HOLD_S` seconds, since upstreams may not have noticed yet. While
+    most of the recently known proxies are lost, this one may be the one that is cut
+    off; it then leaves them half of the shares.
 
     Attributes:
         membership: The table of proxies.
-        lost_at_s: Time of loss of each proxy that was lost without announcing it.
+        lost_at_s: Time at which each proxy was lost that did not announce its leaving.
         leaving: Names of the proxies that announced that they leave.
         callbacks: Called when the share of a lost proxy is released.
     """
--- a/ebonyrack/platform/__init__.py
+++ b/ebonyrack/platform/__init__.py
@@ -1,1 +1,1 @@
-"""Adapter to the users' platform: names, formats and calls, without any decisions."""
+"""Adapter to the platform: its names, formats and calls, without any decisions."""
--- a/ebonyrack/platform/caller_codec.py
+++ b/ebonyrack/platform/caller_codec.py
@@ -29,7 +29,8 @@
 # Parser of a statement by its first word.
 STATEMENTS: Registry[Parse] = Registry("statement")
 
-PREPARED_KINDS = {b"READ": False, b"WRITE": True}
+# Whether a prepared statement writes, by the word in its PREPARE message.
+WRITES_BY_PREPARED_KIND = {b"READ": False, b"WRITE": True}
 # Number of fields in a line of the protocol; the last field may contain spaces.
 STARTUP_FIELDS = 3
 QUERY_FIELDS = 3
@@ -195,9 +196,9 @@
 def parse_prepare(request_id: bytes, text: bytes) -> Request | None:
     """Parse `PREPARE name READ|WRITE shape`."""
     fields = text.split(b" ", 3)
-    if len(fields) != 4 or not fields[1] or fields[2] not in PREPARED_KINDS:
+    if len(fields) != 4 or not fields[1] or fields[2] not in WRITES_BY_PREPARED_KIND:
         return None
-    writes = PREPARED_KINDS[fields[2]]
+    writes = WRITES_BY_PREPARED_KIND[fields[2]]
     return Request(RequestKind.PREPARE, request_id, text, fields[1], fields[3], writes)
 
 
--- a/ebonyrack/platform/member_entries.py
+++ b/ebonyrack/platform/member_entries.py
@@ -14,8 +14,8 @@
 from ebonyrack.store.leasing_store import StoreItem
 
 PREFIX = "servers/"
-PHASES = {"ready": False, "draining": True}
-ROLES = {"primary": True, "replica": False}
+IS_LEAVING_BY_PHASE = {"ready": False, "draining": True}
+IS_PRIMARY_BY_ROLE = {"primary": True, "replica": False}
 
 
 def decode_entry(item: StoreItem) -> Result[MemberEntry, str]:
@@ -41,8 +41,8 @@
                 address=parse_address(read_text(body, "address")),
                 data_centre=read_text(body, "zone"),
                 slots=slots,
-                is_leaving=PHASES[read_text(body, "phase")],
-                reports_primary=ROLES[read_text(body, "dbRole")],
+                is_leaving=IS_LEAVING_BY_PHASE[read_text(body, "phase")],
+                reports_primary=IS_PRIMARY_BY_ROLE[read_text(body, "dbRole")],
                 started_at_ms=started_at_ms,
                 revision=item.revision,
             )
--- a/ebonyrack/platform/proxy.py
+++ b/ebonyrack/platform/proxy.py
@@ -29,10 +29,10 @@
         store: Client of the key-value store.
         orders: Client of the promotion endpoint.
         proxy: The proxy.
-        probe: Server that reports to the load balancer whether the proxy is ready.
+        readiness_server: Reports to the load balancer whether the proxy is ready.
     """
 
-    __slots__ = ("store", "orders", "proxy", "probe", "stack")
+    __slots__ = ("store", "orders", "proxy", "readiness_server", "stack")
 
     def __init__(self, settings: RouteProxySettings) -> None:
         self.store = KvStore(settings.store_address)
@@ -48,15 +48,15 @@
             decode_entry=member_entries.decode_entry,
         )
         self.proxy = RouteProxy(settings, dependencies)
-        self.probe = ReadinessServer(
+        self.readiness_server = ReadinessServer(
             settings.ready_address, lambda: self.proxy.is_ready
         )
         self.stack = AsyncExitStack()
 
     async def start(self) -> None:
         """Start the clients, the proxy and the readiness server."""
-        for owner in (self.store, self.orders, self.proxy, self.probe):
-            await self.stack.enter_async_context(owner)
+        for component in (self.store, self.orders, self.proxy, self.readiness_server):
+            await self.stack.enter_async_context(component)
 
     async def stop(self) -> None:
         """Stop all of them in reverse order."""
--- a/ebonyrack/platform/upstream_codec.py
+++ b/ebonyrack/platform/upstream_codec.py
@@ -37,7 +37,7 @@
 
 
 def render_prepare(request: Request) -> bytes:
-    """Return the preparation of a statement."""
+    """Return the text that prepares a statement."""
     kind = b"WRITE" if request.writes else b"READ"
     return b"PREPARE %b %b %b" % (request.name, kind, request.argument)
 
@@ -176,7 +176,7 @@
 
 
 def parse_position(text: bytes) -> LogPosition:
-    """Parse a position of the form `TERM.NUMBER`.
+    """Parse a position of the form `TERM.OFFSET`.
 
     Raises:
         ValueError: If the text is malformed.
--- a/ebonyrack/service/group_table.py
+++ b/ebonyrack/service/group_table.py
@@ -26,7 +26,7 @@
 
 
 class GroupTable(Component):
-    """Starts, updates and stops groups to match the document: a context manager.
+    """Makes the running groups match the document: an async context manager.
 
     Attributes:
         services: Holds the groups and read indexes that the sessions use.
--- a/ebonyrack/service/key_retention.py
+++ b/ebonyrack/service/key_retention.py
@@ -26,7 +26,7 @@
 
 
 class KeyRetention(Component):
-    """Periodically removes a group's expired keys: a context manager.
+    """Periodically removes a group's expired keys: an async context manager.
 
     Only the proxy with coordinator rank 0 of the group does so.
 
--- a/ebonyrack/service/proxy_test.py
+++ b/ebonyrack/service/proxy_test.py
@@ -17,7 +17,7 @@
 CONDITION_LIMIT_S = 20.0
 
 
-async def until(condition):
+async def wait_until(condition):
     async with asyncio.timeout(CONDITION_LIMIT_S):
         while not condition():
             await asyncio.sleep(0.01)
@@ -84,7 +84,7 @@
 async def test_a_new_revision_takes_effect_on_every_proxy():
     async with System(proxies=3) as system:
         system.put_document(queue_limit=77)
-        await until(
+        await wait_until(
             lambda: all(
                 proxy.services.groups[GROUP].section.queue_limit == 77
                 for proxy in system.proxies.values()
@@ -96,9 +96,9 @@
     async with System(proxies=2, connection_limit=20, connection_reserve=2) as system:
         proxy = system.proxies["proxy-1"]
         group = proxy.services.groups[GROUP]
-        await until(lambda: group.connection_limit == 9)
+        await wait_until(lambda: group.connection_limit == 9)
         await system.kill_proxy("proxy-2")
-        await until(lambda: group.connection_limit == 18)
+        await wait_until(lambda: group.connection_limit == 18)
 
 
 async def test_graceful_shutdown_cuts_no_request():
@@ -138,7 +138,7 @@
             system.platform.state.set_nodes(
                 [Node("up-1", "127.0.0.1", "bangkok-1", "leaving")]
             )
-        await until(
+        await wait_until(
             lambda: all(
                 proxy.services.groups[GROUP].primary_name not in (None, "up-1")
                 for proxy in proxies
@@ -146,7 +146,7 @@
         )
         await book_until_acknowledged(system, "r-1")
         leaving = proxies[0].services.groups[GROUP].upstreams["up-1"]
-        await until(lambda: leaving.pool.busy_count == 0)
+        await wait_until(lambda: leaving.pool.busy_count == 0)
         assert not leaving.pool.is_accepting
 
 
@@ -158,12 +158,12 @@
         assert await retention.remove_expired_keys() == 0
         system.put_document(key_retention_s=0.001)
         group = table.services.groups[GROUP]
-        await until(lambda: group.section.key_retention_s == 0.001)
+        await wait_until(lambda: group.section.key_retention_s == 0.001)
         # The database's clock has a resolution of one second, so retry.
-        await until_removed(retention)
+        await wait_until_removed(retention)
 
 
-async def until_removed(retention):
+async def wait_until_removed(retention):
     async with asyncio.timeout(CONDITION_LIMIT_S):
         while await retention.remove_expired_keys() == 0:
             await asyncio.sleep(0.05)
@@ -177,20 +177,20 @@
         async with connect(proxy) as connection:
             await connection.execute("BEGIN")
             await connection.execute(BOOK, (1, "Mali", "r-1"))
-            await until(lambda: proxy.watch.is_cut_off)
+            await wait_until(lambda: proxy.watch.is_cut_off)
             await connection.execute("COMMIT")
             with pytest.raises(psycopg.Error) as raised:
                 await connection.execute(BOOK, (2, "Mali", "r-2"))
             assert "ran=no kind=cut_off" in raised.value.diag.message_detail
             system.platform.is_down = False
-            await until(lambda: not proxy.watch.is_cut_off)
+            await wait_until(lambda: not proxy.watch.is_cut_off)
             assert await count(connection, "r-1") == 1
 
 
 async def test_application_weights_are_applied_to_the_pools():
     async with System(proxies=1) as system:
         upstreams = system.proxies["proxy-1"].services.groups[GROUP].upstreams
-        await until(
+        await wait_until(
             lambda: all(
                 upstream.pool.queue.weights == {"booking": 1}
                 for upstream in upstreams.values()
@@ -208,19 +208,21 @@
             seen.append(proxy.watch.is_cut_off)
             return proxy.store.calls["get"] > reads + 4
 
-        await until(has_read_again)
+        await wait_until(has_read_again)
         assert not any(seen)
 
 
 async def test_a_cancel_request_at_another_proxy_is_forwarded_to_its_session():
     async with System(proxies=2) as system:
         one, other = system.proxies.values()
-        await until(lambda: "proxy-2" in one.hub.links and "proxy-1" in other.hub.links)
+        await wait_until(
+            lambda: "proxy-2" in one.hub.links and "proxy-1" in other.hub.links
+        )
         async with connect(one) as connection, connect(other) as bystander:
             running = asyncio.create_task(connection.execute("SELECT pg_sleep(60)"))
             slept = asyncio.create_task(bystander.execute("SELECT pg_sleep(0.5)"))
             sessions = one.listener.sessions
-            await until(
+            await wait_until(
                 lambda: any(item.phase == "upstream" for item in sessions.values())
             )
             (session,) = sessions.values()
--- a/ebonyrack/service/region_test.py
+++ b/ebonyrack/service/region_test.py
@@ -185,7 +185,7 @@
             for proxy in proxies
         )
 
-    async def wait_dead(self, lost, seen_by):
+    async def wait_until_dead(self, lost, seen_by):
         """Wait until proxies consider others dead."""
         await wait_until(
             lambda: all(
@@ -242,7 +242,7 @@
             group.freeze(upstream)
             deployment.cut(DATA_CENTRES[number - 1])
         await deployment.wait_for_writes(*roaming, staying)
-        await deployment.wait_dead([proxy], others)
+        await deployment.wait_until_dead([proxy], others)
         await deployment.wait_for_writes(*roaming, staying)
         assert group.primary().name != upstream
         if fault == "kill":
@@ -289,8 +289,8 @@
         minority_callers = [deployment.add_caller(name, retries=False) for name in west]
         await deployment.wait_for_writes(majority_caller, *minority_callers)
         deployment.cut("west")
-        await deployment.wait_dead(west, east)
-        await deployment.wait_dead(east, west)
+        await deployment.wait_until_dead(west, east)
+        await deployment.wait_until_dead(east, west)
         # Writes acknowledged in the west until now were sent before the cut.
         before = [caller.count_acknowledged() for caller in minority_callers]
         revision = await edit_queue_limit(proxies[east[0]], 77)
--- a/ebonyrack/service/services.py
+++ b/ebonyrack/service/services.py
@@ -36,7 +36,7 @@
         settings: Settings of the process.
         configuration: The operators' document in force.
         membership: Membership table of the proxies.
-        drain: Life cycle of the proxy; tells whether it is shutting down.
+        drain: Life cycle of the proxy; shows whether it is shutting down.
         token_key: Key that signs session tokens; the same on every proxy.
         groups: Database groups by name.
         read_indexes: Read index of each group, by the group's name.
--- a/ebonyrack/store/consul_store.py
+++ b/ebonyrack/store/consul_store.py
@@ -32,11 +32,11 @@
 class ConsulStore(Component):
     """Client of the store: an async context manager.
 
-    Keys are relative to the prefix in the settings. Each call has a time-out, is
+    Keys are relative to the prefix in the settings. Each call has a timeout, is
     counted by kind and is subject to the process's rate limit.
 
     Attributes:
-        settings: Address, prefix, time-out and rate limit.
+        settings: Address, prefix, timeout and rate limit.
         calls: Number of calls made, by kind.
         answered_at_s: Monotonic time of the store's last response, or None.
         rate_limit: Limits the rate of calls.
@@ -134,7 +134,7 @@
         body: bytes = b"",
         wait_s: float = 0.0,
     ) -> Result[StoreResponse, StoreError]:
-        """Make one HTTP call subject to the rate limit and the time-out.
+        """Make one HTTP call subject to the rate limit and the timeout.
 
         Args:
             kind: Kind under which the call is counted.
--- a/ebonyrack/store/follower.py
+++ b/ebonyrack/store/follower.py
@@ -29,7 +29,7 @@
 from ebonyrack.store.leasing_store import StoreChanges
 from ebonyrack.store.store_response import StoreError
 
-# Pause between reads while data is missing that the store may provide any moment.
+# Pause between reads while data is missing that the store may provide at any time.
 INCOMPLETE_PAUSE_S = 0.4
 # Pause between watches, so that a burst of changes does not cause a call for each.
 WATCH_PAUSE_S = 0.1
@@ -59,7 +59,7 @@
 
 
 class StoreAvailability:
-    """Whether the store answers, shared by all followers of a process.
+    """Tracks whether the store answers, for all followers of a process.
 
     While it does not, only one follower probes it and the others wait, because
     rejected calls cost the store as much as others.
--- a/ebonyrack/store/follower_test.py
+++ b/ebonyrack/store/follower_test.py
@@ -107,16 +107,20 @@
 async def test_a_failed_call_of_another_follower_wakes_the_probing_one():
     # Without that, a store that stops right after a read of the entries would count as
     # available until the next one 3 s later, and callers would not be moved.
-    asking, watching, availability = FakeStore(), FakeStore(), StoreAvailability()
-    asking.results = [Ok(StoreChanges((), (), 7, is_complete=True)), REFUSED]
+    entry_store, route_store, availability = (
+        FakeStore(),
+        FakeStore(),
+        StoreAvailability(),
+    )
+    entry_store.results = [Ok(StoreChanges((), (), 7, is_complete=True)), REFUSED]
     entries, _ = build_follower(
-        asking, FollowOptions("in/", pause_s=60.0), availability, True
+        entry_store, FollowOptions("in/", pause_s=60.0), availability, True
     )
     routes, _ = build_follower(
-        watching, FollowOptions("op/", watch_s=1.0), availability
+        route_store, FollowOptions("op/", watch_s=1.0), availability
     )
     async with entries:
         await asyncio.sleep(0.05)
         assert availability.unavailable_since_s is None
-        watching.results = [REFUSED]
+        route_store.results = [REFUSED]
         await follow(routes, lambda: availability.unavailable_since_s is not None)
--- a/ebonyrack/store/http_client.py
+++ b/ebonyrack/store/http_client.py
@@ -1,4 +1,4 @@
-"""HTTP client for the platform, with time-outs and classified failures."""
+"""HTTP client for the platform, with timeouts and classified failures."""
 
 from __future__ import annotations
 
--- a/ebonyrack/store/vm_list.py
+++ b/ebonyrack/store/vm_list.py
@@ -36,7 +36,7 @@
 
 
 class VmList:
-    """Client of the VM list, which lags behind reality and serves as a hint.
+    """Client of the VM list, which may be out of date and serves only as a hint.
 
     Attributes:
         store: Client of the store; the same service provides the list.
@@ -55,7 +55,7 @@
         return self.listing.leaving
 
     async def watch(self, wait_s: float) -> Result[VmListing, StoreError]:
-        """Wait for a change of the list and remember the new version.
+        """Wait for a change of the list and store the new version.
 
         Args:
             wait_s: Seconds after which the store responds in any case.
