--- a/ebonyrack/core/errors.py
+++ b/ebonyrack/core/errors.py
@@ -98,17 +98,13 @@
         "3D000", Executed.NO, False, "the database group is not configured", fatal=True
     ),
     ErrorKind.TOO_MANY_CALLERS: ErrorAnswer(
-        "53300",
-        Executed.NO,
-        True,
-        "the limit of connections is reached",
-        fatal=True,
+        "53300", Executed.NO, True, "the proxy serves no more connections", fatal=True
     ),
     ErrorKind.QUEUE_FULL: ErrorAnswer(
         "53400", Executed.NO, True, "the queue of the database group is full"
     ),
     ErrorKind.WAIT_TOO_LONG: ErrorAnswer(
-        "53400", Executed.NO, True, "no connection became free within the time allowed"
+        "53400", Executed.NO, True, "no connection came free within the time allowed"
     ),
     ErrorKind.NO_PRIMARY: ErrorAnswer(
         "57P03", Executed.NO, True, "the database group has no primary now"
@@ -126,7 +122,7 @@
         "08006", Executed.NO, True, "the upstream was lost; nothing was committed"
     ),
     ErrorKind.ANSWER_CUT: ErrorAnswer(
-        "08006", Executed.NO, True, "the answer of a read was cut off; it is incomplete"
+        "08006", Executed.NO, True, "the answer of a read broke off; it is not whole"
     ),
     ErrorKind.OUTCOME_UNKNOWN: ErrorAnswer(
         "08007", Executed.UNKNOWN, False, "the outcome of the transaction is not known"
@@ -157,7 +153,7 @@
         "XX000",
         Executed.UNKNOWN,
         False,
-        "the upstream failed while running the statement",
+        "the upstream failed while it ran the statement",
     ),
     ErrorKind.STATEMENT_TIMED_OUT: ErrorAnswer(
         "57014",
@@ -166,7 +162,7 @@
         "the statement took longer than its route allows",
     ),
     ErrorKind.REQUEST_TOO_LARGE: ErrorAnswer(
-        "54000", Executed.NO, False, "the message exceeds the size limit", fatal=True
+        "54000", Executed.NO, False, "the message passes the limit", fatal=True
     ),
     ErrorKind.CANCELLED: ErrorAnswer(
         "57014", Executed.NO, True, "the request was cancelled"
