--- a/ebonyrack/promotion/promoter_test.py
+++ b/ebonyrack/promotion/promoter_test.py
@@ -18,7 +18,7 @@
 
 
 def get_promoter(system):
-    return system.proxies[0].proxy.watches["scheduling"].promoter
+    return system.proxies[0].proxy.primary_monitors["scheduling"].promoter
 
 
 async def write(system, count):
