--- a/ebonyrack/load/bench.py
+++ b/ebonyrack/load/bench.py
@@ -49,12 +49,12 @@
 
 async def measure_latencies(client: SimpleQueryClient, count: int) -> list[float]:
     """Return the latencies of statements sent one after another, in seconds."""
-    times_s = []
+    latencies_s = []
     for number in range(count):
         started_s = now_s()
         await client.query(build_select(number))
-        times_s.append(now_s() - started_s)
-    return times_s
+        latencies_s.append(now_s() - started_s)
+    return latencies_s
 
 
 async def compare_latency(options: BenchOptions) -> dict[str, Any]:
@@ -114,7 +114,7 @@
 
 async def measure_memory(options: BenchOptions) -> dict[str, Any]:
     """Measure the proxy's memory without callers and with many idle ones."""
-    before = read_resident_bytes(options.proxy_pid)
+    before_bytes = read_resident_bytes(options.proxy_pid)
     clients = [SimpleQueryClient(options.proxy) for _ in range(options.idle_callers)]
     semaphore = asyncio.Semaphore(CONNECT_CONCURRENCY)
 
@@ -127,14 +127,16 @@
         for client in clients:
             tasks.create_task(connect_one(client))
     await asyncio.sleep(MEMORY_WAIT_S)
-    after = read_resident_bytes(options.proxy_pid)
+    after_bytes = read_resident_bytes(options.proxy_pid)
     for client in clients:
         client.close()
     return {
         "idle_callers": options.idle_callers,
-        "resident_before_mb": round(before / KIB / KIB, 1),
-        "resident_with_callers_mb": round(after / KIB / KIB, 1),
-        "kib_per_idle_caller": round((after - before) / options.idle_callers / KIB, 2),
+        "resident_before_mb": round(before_bytes / KIB / KIB, 1),
+        "resident_with_callers_mb": round(after_bytes / KIB / KIB, 1),
+        "kib_per_idle_caller": round(
+            (after_bytes - before_bytes) / options.idle_callers / KIB, 2
+        ),
     }
 
 
--- a/ebonyrack/load/control_host.py
+++ b/ebonyrack/load/control_host.py
@@ -27,7 +27,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HostOptions:
-    """Selects the proxies that a process hosts.
+    """The proxies that a process hosts.
 
     Attributes:
         store: Address of the platform's store.
@@ -135,7 +135,7 @@
     """Run the proxies until the process is told to stop.
 
     Args:
-        options: Selects the proxies.
+        options: The proxies to host.
         is_stopped: Called periodically; returns whether to stop.
     """
     async with AsyncExitStack() as stack:
--- a/ebonyrack/load/queue_samples.py
+++ b/ebonyrack/load/queue_samples.py
@@ -58,7 +58,7 @@
 
 @asynccontextmanager
 async def sample_queues(context: ExperimentContext, samples: list[QueueSample]) -> Any:
-    """Sample the queues every 50 ms until the block ends.
+    """Sample the queues periodically until the block ends.
 
     Args:
         context: Provides the peer addresses of the proxies.
--- a/ebonyrack/load/record.py
+++ b/ebonyrack/load/record.py
@@ -22,7 +22,7 @@
     Attributes:
         acknowledged: Slots of the acknowledged reservations, by request key.
         refused: Request keys of the finally refused reservations.
-        unfinished: Request keys without a final reply when the time was over.
+        unfinished: Request keys without a final reply at the deadline.
         acknowledged_at_s: Monotonic times of the acknowledgements, in order.
         write_latencies_s: Time from the first attempt to the acknowledgement, for
             each acknowledged reservation.
--- a/ebonyrack/load/report.py
+++ b/ebonyrack/load/report.py
@@ -31,10 +31,10 @@
 
     Args:
         results: Directory of the result files.
-        plots: Directory of the pictures.
+        plots: Directory of the image files.
 
     Returns:
-        Paths of the pictures.
+        Paths of the image files.
     """
     # matplotlib is large and only this command needs it.
     import matplotlib
--- a/ebonyrack/load/simple_query_client.py
+++ b/ebonyrack/load/simple_query_client.py
@@ -68,7 +68,7 @@
         )
         params = {"user": self.user, "database": self.database}
         self.writer.write(StartupMessage(params).to_wire())
-        await self.read_answer()
+        await self.read_reply()
         if self.error:
             raise SimpleQueryError(self.error.decode(errors="replace"))
 
@@ -89,10 +89,10 @@
     async def send(self, frame: bytes) -> bool:
         """Send an encoded query; return whether it succeeded."""
         self.writer.write(frame)
-        await self.read_answer()
+        await self.read_reply()
         return not self.error
 
-    async def read_answer(self) -> None:
+    async def read_reply(self) -> None:
         """Read messages up to the next ReadyForQuery.
 
         Raises:
--- a/ebonyrack/load/soak.py
+++ b/ebonyrack/load/soak.py
@@ -34,7 +34,8 @@
         options: Seed and size of the soak.
 
     Returns:
-        Counts of what happened; `faults` lists every violated guarantee.
+        Counts of requests, promotions and injected faults; `faults` lists every
+        violated guarantee.
     """
     with tempfile.TemporaryDirectory(prefix="ebonyrack-soak-") as folder:
         async with SoakSystem(options, Path(folder)) as system:
--- a/ebonyrack/ops/base_file.py
+++ b/ebonyrack/ops/base_file.py
@@ -1,4 +1,4 @@
-"""Base copies of document files, from which operators' changes are found."""
+"""Base copies of document files, against which operators' changes are found."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 HEADER_PATTERN = re.compile(r"# ebonyrack document, revision (\d+)\n")
 
 
-def find_base_path(path: Path) -> Path:
+def build_base_path(path: Path) -> Path:
     """Return the path of the base copy of a file."""
     return path.with_name(f"{path.name}.base")
 
@@ -35,18 +35,20 @@
     header = HEADER.format(revision=document.revision)
     try:
         path.write_text(document.text, encoding="utf-8")
-        find_base_path(path).write_text(header + document.text, encoding="utf-8")
+        build_base_path(path).write_text(header + document.text, encoding="utf-8")
     except OSError as error:
         raise CommandError(ExitStatus.USAGE, f"{path}: {error}") from error
 
 
 def read_base(path: Path) -> StoredDocument | None:
     """Read the base copy of a file; None if there is none."""
-    base_path = find_base_path(path)
+    base_path = build_base_path(path)
     if not base_path.exists():
         return None
     text = read_text(base_path)
     match = HEADER_PATTERN.match(text)
     if match is None:
-        raise CommandError(ExitStatus.USAGE, f"{base_path}: not a base file")
+        raise CommandError(
+            ExitStatus.USAGE, f"{base_path}: not a base copy of a document"
+        )
     return StoredDocument(int(match[1]), text[match.end() :], ())
--- a/ebonyrack/ops/configuration.py
+++ b/ebonyrack/ops/configuration.py
@@ -20,7 +20,7 @@
 from ebonyrack.config.text import build_difference
 from ebonyrack.config.text import find_changes
 from ebonyrack.config.text import split_sections
-from ebonyrack.ops.base_file import find_base_path
+from ebonyrack.ops.base_file import build_base_path
 from ebonyrack.ops.base_file import read_base
 from ebonyrack.ops.base_file import read_text
 from ebonyrack.ops.base_file import write_document
@@ -53,7 +53,7 @@
         operator: Name of the operator.
         edit_id: Identity of an edit to repeat, or empty for a new edit.
         limit_s: Seconds within which the edit must be accepted.
-        wait_s: Seconds to wait until all proxies run it; None for no wait.
+        wait_s: Seconds to wait for all proxies to run the revision; None for no wait.
     """
 
     operator: str
@@ -87,11 +87,14 @@
 async def apply_file(
     access: DocumentAccess, path: Path, options: ApplyOptions, output: Output
 ) -> ExitStatus:
-    """Apply the changes between a file and its base copy or the document in force."""
+    """Apply the changes of a file since its base copy.
+
+    A file without a base copy is compared with the document in force.
+    """
     new_text = read_text(path)
     base = read_base(path) or await access.read()
     status = await apply_text(access, base, new_text, options, output)
-    if status is ExitStatus.OK and find_base_path(path).exists():
+    if status is ExitStatus.OK and build_base_path(path).exists():
         write_document(path, await access.read())
     return status
 
--- a/ebonyrack/ops/ctl_test.py
+++ b/ebonyrack/ops/ctl_test.py
@@ -119,10 +119,10 @@
 
 async def test_repeat_with_edit_id_resolves_unknown_outcome(tool, fleet):
     await tool.run("config", "apply", tool.write(TEXT))
-    link_closed = []
+    received_edit_ids = []
 
     async def cut_link(link, message):
-        link_closed.append(message.edit_id)
+        received_edit_ids.append(message.edit_id)
         link.close()
 
     callbacks = fleet.planes[0].hub.handlers[EditRequest]
--- a/ebonyrack/ops/document_access.py
+++ b/ebonyrack/ops/document_access.py
@@ -43,7 +43,7 @@
         """Read the document in force."""
 
     async def change(self, edit: Edit, limit_s: float) -> EditReply:
-        """Submit an edit and return its outcome within a time in seconds."""
+        """Submit an edit, to be accepted within `limit_s`, and return its outcome."""
 
 
 class ProxyDocument:
@@ -78,7 +78,7 @@
         return reply.revisions
 
     async def wait_for_revision(self, revision: int, limit_s: float) -> dict[str, int]:
-        """Wait until all proxies run at least a revision or the time is over.
+        """Wait until all proxies run at least a revision, or until the timeout.
 
         Args:
             revision: The revision.
@@ -105,10 +105,10 @@
 
     async def read(self) -> StoredDocument:
         """Read the document from the store."""
-        answer = await self.store.get(DOCUMENT_KEY)
-        if isinstance(answer, Err):
-            raise CommandError(ExitStatus.UNREACHABLE, answer.err_value.reason)
-        value = answer.ok_value
+        result = await self.store.get(DOCUMENT_KEY)
+        if isinstance(result, Err):
+            raise CommandError(ExitStatus.UNREACHABLE, result.err_value.reason)
+        value = result.ok_value
         try:
             return EMPTY_STORED if value is None else unpack_stored(value.value)
         except BadStoredDocumentError as error:
--- a/ebonyrack/ops/timeline.py
+++ b/ebonyrack/ops/timeline.py
@@ -24,7 +24,7 @@
     """The request to search for and where to search.
 
     Attributes:
-        request: Id of the request.
+        request: ID of the request.
         logs: Log files of proxies.
         before_s: Seconds before the request's first line from which context is shown.
         after_s: Seconds after its last line up to which context is shown.
@@ -41,10 +41,10 @@
 
     Args:
         query: The request and the logs to search.
-        output: Prints the lines in order of time.
+        output: Prints the lines in chronological order.
 
     Returns:
-        REFUSED if no log line contains the request id.
+        REFUSED if no log line contains the request ID.
 
     Raises:
         CommandError: If a log can't be read.
@@ -84,7 +84,7 @@
 ) -> list[dict[str, Any]]:
     """Return the lines on the state of the request's proxies around its time.
 
-    These are the lines without a request id that concern its groups or no group.
+    These are the lines without a request ID that concern its groups or no group.
     """
     times = [read_time(line) for line in request_lines]
     first = min(times) - timedelta(seconds=query.before_s)
--- a/ebonyrack/scripts/ctl.py
+++ b/ebonyrack/scripts/ctl.py
@@ -40,8 +40,8 @@
 DEFAULT_EDIT_LIMIT_S = 10.0
 DEFAULT_WAIT_S = 10.0
 DEFAULT_HISTORY_EDITS = 20
-# State that a request depended on is at most a few seconds old; a change of primary
-# during the request ends within two seconds.
+# The state that a request depends on is at most a few seconds old, and a change of
+# primary during the request ends within two seconds.
 TIMELINE_BEFORE_S = 5.0
 TIMELINE_AFTER_S = 2.0
 
@@ -272,7 +272,7 @@
     """Run the program.
 
     Args:
-        arguments: Command line without the program's name; None takes sys.argv.
+        arguments: Command line without the program's name; `sys.argv` if None.
 
     Returns:
         The exit status.
--- a/ebonyrack/scripts/daemon.py
+++ b/ebonyrack/scripts/daemon.py
@@ -83,7 +83,7 @@
 
     Args:
         settings: Checked settings.
-        path: File of the settings, reloaded on SIGHUP.
+        path: File of the settings; its log settings are reloaded on SIGHUP.
 
     Returns:
         The number of requests that the shutdown cut.
@@ -101,7 +101,7 @@
     """Run the program.
 
     Args:
-        arguments: Command line without the program's name; None takes sys.argv.
+        arguments: Command line without the program's name; `sys.argv` if None.
 
     Returns:
         The exit status.
--- a/ebonyrack/scripts/load.py
+++ b/ebonyrack/scripts/load.py
@@ -214,7 +214,7 @@
     """Run the command line.
 
     Args:
-        argv: Arguments without the program's name; those of the process if None.
+        argv: Command line without the program's name; `sys.argv` if None.
 
     Returns:
         0 on success, 1 if a guarantee was violated, 2 for a usage or system error.
--- a/ebonyrack/scripts/route_daemon.py
+++ b/ebonyrack/scripts/route_daemon.py
@@ -28,10 +28,10 @@
 
 EXIT_OK = 0
 EXIT_INVALID_SETTINGS = 2
-# Successful requests are logged as a sample; failed requests are all logged.
+# Only a sample of the successful requests is logged. Failed requests are not sampled.
 DEFAULT_DECISION_SAMPLING = 0.02
-# Metrics start after the first callers are served, as loading their libraries takes
-# a third as long as the whole startup.
+# Metrics start after the first callers are served, because loading their libraries
+# takes a third as long as the whole startup.
 METRICS_DELAY_S = 2.0
 
 
@@ -138,7 +138,7 @@
     """Run the program.
 
     Args:
-        arguments: Command line without the program's name; None takes sys.argv.
+        arguments: Command line without the program's name; `sys.argv` if None.
 
     Returns:
         The exit status.
--- a/ebonyrack/scripts/standin.py
+++ b/ebonyrack/scripts/standin.py
@@ -19,7 +19,7 @@
 from ebonyrack.standins.platform import StandinPlatform
 from ebonyrack.standins.upstream import StandinUpstream
 
-USAGE_ERROR = 2
+EXIT_ERROR = 2
 ROLES = ("primary", "replica", "none")
 DELAY_OPTIONS = (
     "connection_cost_s",
@@ -153,7 +153,7 @@
     """Run the command line.
 
     Args:
-        argv: Arguments without the program's name; those of the process if None.
+        argv: Command line without the program's name; `sys.argv` if None.
 
     Returns:
         Exit status.
@@ -167,7 +167,7 @@
         asyncio.run(run(arguments))
     except OSError as error:
         print(f"ebonyrack-standin: {error}", file=sys.stderr)
-        return USAGE_ERROR
+        return EXIT_ERROR
     return 0
 
 
--- a/ebonyrack/standins/control.py
+++ b/ebonyrack/standins/control.py
@@ -56,7 +56,7 @@
 
 @FAULTS.register("lose_commit_answers")
 async def lose_commit_answers(group: StandinGroup, body: dict[str, Any]) -> None:
-    """Lose the answers of the next commits."""
+    """Lose the replies to the next commits."""
     group.lose_commit_answers(body["name"], int(body.get("count", 1)))
 
 
--- a/ebonyrack/standins/control_plane.py
+++ b/ebonyrack/standins/control_plane.py
@@ -22,7 +22,7 @@
 SECRET = "the secret of a test"
 SECRET_BYTES = 8
 CONDITION_TIMEOUT_S = 30.0
-POLL_S = 0.01
+POLL_INTERVAL_S = 0.01
 MAXIMUM_SEEDS = 3
 
 SETTINGS = """
@@ -239,4 +239,4 @@
     """
     async with asyncio.timeout(limit_s):
         while not condition():
-            await asyncio.sleep(POLL_S)
+            await asyncio.sleep(POLL_INTERVAL_S)
--- a/ebonyrack/standins/dialect.py
+++ b/ebonyrack/standins/dialect.py
@@ -1,4 +1,4 @@
-"""Translates PostgreSQL statements to the SQL dialect of the stand-in's engine."""
+"""Translates PostgreSQL statements to the SQL dialect of SQLite, the engine."""
 
 from __future__ import annotations
 
@@ -203,7 +203,7 @@
 
 
 def apply_cast(parts: list[str], index: int, kind: str, cast: str) -> None:
-    """Replace the token before a `::type` cast by a CAST to the type's affinity.
+    """Replace the token before a `::type` cast with a CAST to the type's affinity.
 
     Casts to other types and of other expressions are dropped.
     """
--- a/ebonyrack/standins/execution.py
+++ b/ebonyrack/standins/execution.py
@@ -31,7 +31,7 @@
 COUNTED_TAGS = frozenset({"SELECT", "UPDATE", "DELETE"})
 
 
-class AnswerLostError(Exception):
+class ReplyLostError(Exception):
     """Raised to break the connection after a commit instead of sending its reply."""
 
 
@@ -103,7 +103,7 @@
 
 
 def check_not_terminated(transaction: Transaction | None) -> None:
-    """Raise a fatal error if the transaction was rolled back for a higher term.
+    """Raise a fatal error if the transaction was ended by a higher term.
 
     Raises:
         SqlError: If it was (57P01).
@@ -150,14 +150,14 @@
     """Commit a transaction, and lose its reply if this fault is injected.
 
     Raises:
-        AnswerLostError: If the reply to this commit must be lost.
+        ReplyLostError: If the reply to this commit must be lost.
     """
     if not transaction.is_writing:
         return
     upstream = session.upstream
     session.last_commit = upstream.commit(transaction, upstream.term)
     if upstream.faults.consume_lost_commit_answer():
-        raise AnswerLostError
+        raise ReplyLostError
 
 
 def commit_implicit_transaction(session: StandinSession) -> None:
--- a/ebonyrack/standins/extended_query.py
+++ b/ebonyrack/standins/extended_query.py
@@ -53,14 +53,14 @@
         values: Parameter values.
         formats: Result format codes of the Bind message.
         outcome: Its outcome, once it has been executed.
-        sent: Number of rows sent so far.
+        sent_count: Number of rows sent so far.
     """
 
     prepared: PreparedStatement
     values: tuple[SqlValue, ...]
     formats: list[int]
     outcome: Outcome | None = None
-    sent: int = 0
+    sent_count: int = 0
 
 
 @dataclass(slots=True)
@@ -216,15 +216,15 @@
         if portal.outcome is None:
             portal.outcome = await execute(self.session, statement, portal.values)
         outcome = portal.outcome
-        rows = outcome.result.rows[portal.sent :]
+        rows = outcome.result.rows[portal.sent_count :]
         if message.max_rows:
             rows = rows[: message.max_rows]
         columns = outcome.result.columns
         if any(portal.formats):
             columns = self.find_columns(portal.prepared)
         self.session.send_buffer += encode_rows(rows, columns, portal.formats)
-        portal.sent += len(rows)
-        if portal.sent < len(outcome.result.rows):
+        portal.sent_count += len(rows)
+        if portal.sent_count < len(outcome.result.rows):
             self.session.send(messages.PortalSuspended())
         else:
             self.session.send(messages.CommandComplete(outcome.tag))
--- a/ebonyrack/standins/faults.py
+++ b/ebonyrack/standins/faults.py
@@ -14,12 +14,12 @@
     A cut link queues its bytes and delivers them after it is healed, as TCP does.
 
     Attributes:
-        is_frozen: Whether the upstream neither reads nor answers anything.
+        is_frozen: Whether the upstream neither reads nor sends anything.
         cut_from: Peers whose bytes don't arrive at this upstream.
         cut_to: Peers at which this upstream's bytes don't arrive.
-        answer_delay_s: Extra delay before each answer, in seconds.
+        answer_delay_s: Extra delay before each reply, in seconds.
         lost_commit_answers: Number of further commits that take effect with their
-            answer lost.
+            reply lost.
     """
 
     __slots__ = (
@@ -75,7 +75,7 @@
             await self.changed.wait()
 
     def consume_lost_commit_answer(self) -> bool:
-        """Return whether a commit's answer is to be lost; if so, count it down."""
+        """Return whether a commit's reply is to be lost; if so, count it down."""
         if not self.lost_commit_answers:
             return False
         self.lost_commit_answers -= 1
--- a/ebonyrack/standins/group.py
+++ b/ebonyrack/standins/group.py
@@ -113,7 +113,7 @@
         await self.upstreams[name].reimage()
 
     def freeze(self, name: str) -> None:
-        """Freeze an upstream: it keeps its sockets but neither reads nor answers."""
+        """Freeze an upstream: it keeps its sockets but neither reads nor sends."""
         self.upstreams[name].faults.apply(frozen=True)
 
     def resume(self, name: str) -> None:
@@ -142,11 +142,11 @@
             upstream.faults.apply(cut_from=set(), cut_to=set())
 
     def delay_answers(self, name: str, answer_delay_s: float) -> None:
-        """Delay every answer of an upstream, in seconds."""
+        """Delay every reply of an upstream, in seconds."""
         self.upstreams[name].faults.answer_delay_s = answer_delay_s
 
     def lose_commit_answers(self, name: str, count: int = 1) -> None:
-        """Make the next commits take effect and abort their connections unanswered."""
+        """Make the next commits take effect but abort their connections."""
         self.upstreams[name].faults.lost_commit_answers = count
 
     def set_lag(self, apply_delay_s: float, receive_delay_s: float = 0.0) -> None:
--- a/ebonyrack/standins/key_value.py
+++ b/ebonyrack/standins/key_value.py
@@ -22,7 +22,7 @@
         modify_index: Index of its last change.
         lock_index: Number of times that a session acquired it.
         flags: Number that a client may set.
-        session: Id of the session that holds it, or an empty string.
+        session: ID of the session that holds it, or an empty string.
         previous: Entry before the last change, for stale reads.
     """
 
@@ -44,14 +44,14 @@
         behaviour: `release` or `delete`: what happens to its keys at its end.
         lock_delay_s: Seconds for which its keys can't be acquired after it expired.
         name: Name given by the client.
-        expires_s: Monotonic time at which it expires.
+        expires_at_s: Monotonic time at which it expires.
     """
 
     ttl_s: float
     behaviour: str
     lock_delay_s: float
     name: str
-    expires_s: float
+    expires_at_s: float
 
 
 @dataclass(slots=True)
@@ -71,7 +71,7 @@
         index: Index of the last change.
         entries: Existing keys.
         deleted: Index of the deletion of each deleted key.
-        sessions: Sessions by id.
+        sessions: Sessions by ID.
         blocked_until_s: Monotonic time until which a key can't be acquired.
         nodes: VM list.
         nodes_index: Index of the last change of the VM list.
@@ -176,19 +176,19 @@
     def create_session(
         self, ttl_s: float, behaviour: str, lock_delay_s: float, name: str
     ) -> str:
-        """Create a session and return its id."""
+        """Create a session and return its ID."""
         session_id = str(uuid.uuid4())
-        expires_s = now_s() + ttl_s if ttl_s else float("inf")
-        session = LeaseSession(ttl_s, behaviour, lock_delay_s, name, expires_s)
+        expires_at_s = now_s() + ttl_s if ttl_s else float("inf")
+        session = LeaseSession(ttl_s, behaviour, lock_delay_s, name, expires_at_s)
         self.sessions[session_id] = session
         self.advance()
         return session_id
 
     def renew_session(self, session_id: str) -> LeaseSession | None:
-        """Restart the time to live of a session, and return the session."""
+        """Restart the time to live of a session; return it, or None if it has ended."""
         session = self.sessions.get(session_id)
         if session is not None and session.ttl_s:
-            session.expires_s = now_s() + session.ttl_s
+            session.expires_at_s = now_s() + session.ttl_s
         return session
 
     def destroy_session(self, session_id: str, has_expired: bool = False) -> None:
@@ -212,7 +212,7 @@
         """End every expired session."""
         time_s = now_s()
         for session_id, session in list(self.sessions.items()):
-            if session.expires_s <= time_s:
+            if session.expires_at_s <= time_s:
                 self.destroy_session(session_id, has_expired=True)
 
     def set_nodes(self, nodes: list[Node]) -> None:
--- a/ebonyrack/standins/kv_service.py
+++ b/ebonyrack/standins/kv_service.py
@@ -27,9 +27,9 @@
 
     Attributes:
         status: HTTP status with which every call is rejected, or 0.
-        lose_answers: Number of further changes that take effect unanswered.
+        lose_answers: Number of further changes that take effect without a reply.
         late_orders_s: Delay in seconds after which promotion orders are carried out
-            without an answer; 0 for none.
+            without a reply; 0 for none.
     """
 
     status: int = 0
@@ -52,7 +52,7 @@
     """A lease: its time to live and the monotonic time at which it expires."""
 
     ttl_s: float
-    expires_s: float
+    expires_at_s: float
 
 
 class KvService(Component):
@@ -119,7 +119,7 @@
     async def apply_faults(
         self, request: web.Request, handler: Any
     ) -> web.StreamResponse:
-        """Reject a call, or drop the answer to a change."""
+        """Reject a call, or drop the reply to a change."""
         self.calls.append(request.path)
         if self.faults.status:
             return web.json_response({}, status=self.faults.status)
@@ -171,7 +171,7 @@
             expired = [
                 lease_id
                 for lease_id, lease in self.leases.items()
-                if lease.expires_s < now
+                if lease.expires_at_s < now
             ]
             for lease_id in expired:
                 del self.leases[lease_id]
@@ -257,7 +257,7 @@
         lease = self.leases.get(int(request.match_info["lease"]))
         if lease is None:
             return web.json_response({}, status=404)
-        lease.expires_s = now_s() + lease.ttl_s
+        lease.expires_at_s = now_s() + lease.ttl_s
         return web.json_response({"ttlMs": round(lease.ttl_s * MS_PER_S)})
 
     async def post_promote(self, request: web.Request) -> web.Response:
--- a/ebonyrack/standins/line_group.py
+++ b/ebonyrack/standins/line_group.py
@@ -27,13 +27,13 @@
     """One statement that an upstream has run.
 
     Attributes:
-        member_id: The upstream.
-        request_id: Id sent with it.
+        member_id: ID of the upstream.
+        request_id: ID sent with it.
         text: The statement without its `AFTER` position.
         session: Number of the session.
         is_in_transaction: Whether a transaction was open.
         values: Session values at that time.
-        signature: Signature in the answer.
+        signature: Signature in the reply.
     """
 
     member_id: str
@@ -50,7 +50,7 @@
     """One upstream of the group.
 
     Attributes:
-        member_id: Identity.
+        member_id: ID of the upstream.
         is_primary: Whether it is the primary.
         term: Newest term that it knows.
         paused_below_term: Term below which replication is paused; 0 for no pause.
@@ -99,12 +99,12 @@
 
     Attributes:
         name: Name of the group.
-        members: Upstreams by identity.
+        members: Upstreams by member ID.
         acknowledging_replicas: Number of replicas that must receive a commit before it
             is acknowledged.
         records: Statements that were run.
         acknowledged: Entries whose commit was acknowledged.
-        promotions: Identity and term of each promotion.
+        promotions: Member ID and term of each promotion.
         changed: Notified after each replication, for commits that wait.
     """
 
@@ -123,7 +123,7 @@
         self, name: str, member_ids: list[str], acknowledging_replicas: int = 1
     ) -> None:
         self.name = name
-        self.members = {each: LineMember(each) for each in member_ids}
+        self.members = {member_id: LineMember(member_id) for member_id in member_ids}
         self.members[member_ids[0]].is_primary = True
         self.acknowledging_replicas = acknowledging_replicas
         self.records: list[StatementRecord] = []
@@ -136,7 +136,7 @@
     def primary(self) -> LineMember | None:
         """The primary in the newest term, or None."""
         primaries = [member for member in self.members.values() if member.is_primary]
-        return max(primaries, key=lambda each: each.term) if primaries else None
+        return max(primaries, key=lambda member: member.term) if primaries else None
 
     async def commit(
         self, member: LineMember, writes: tuple[tuple[str, str], ...]
--- a/ebonyrack/standins/line_system.py
+++ b/ebonyrack/standins/line_system.py
@@ -67,9 +67,9 @@
     Attributes:
         group: Model of the group.
         service: The platform's service.
-        upstreams: Upstreams by identity.
+        upstreams: Upstreams by member ID.
         proxies: The running proxies.
-        publisher_tasks: Tasks that renew the entries of the upstreams, by identity.
+        publisher_tasks: Tasks that renew the entries of the upstreams, by member ID.
     """
 
     def __init__(self, proxy_count: int = 1) -> None:
@@ -181,22 +181,22 @@
             self.writer.close()
 
     async def execute(self, text: str) -> list[str]:
-        """Send a statement with a new id; return the lines of the answer."""
+        """Send a statement with a new ID; return the lines of the reply."""
         assert self.writer is not None
         self.request_number += 1
         self.writer.write(
             f"QUERY {id(self):x}{self.request_number} {text}\r\n".encode()
         )
-        return await self.read_answer()
+        return await self.read_reply()
 
     async def send_line(self, line: bytes) -> list[str]:
-        """Send a raw line; return the lines of the answer."""
+        """Send a raw line; return the lines of the reply."""
         assert self.writer is not None
         self.writer.write(line)
-        return await self.read_answer()
+        return await self.read_reply()
 
-    async def read_answer(self) -> list[str]:
-        """Return the lines up to the end of the answer or of the connection."""
+    async def read_reply(self) -> list[str]:
+        """Return the lines up to the end of the reply or of the connection."""
         assert self.reader is not None
         lines = []
         while line := (await self.reader.readline()).decode():
--- a/ebonyrack/standins/line_upstream.py
+++ b/ebonyrack/standins/line_upstream.py
@@ -29,13 +29,13 @@
     """Faults of an upstream.
 
     Attributes:
-        is_silent: Whether it sends no answers, on open and new connections.
-        lose_answers: Number of further statements with an id that run, after which the
-            connection is closed without an answer.
-        suppress_answers: Number of further statements with an id that run without an
-            answer, while the connection stays open.
-        rejections: Error codes with which the next statements with an id are rejected.
-        delay_s: Delay before each statement with an id runs, in seconds.
+        is_silent: Whether it sends no replies, on open and new connections.
+        lose_answers: Number of further statements with an ID that run, after which the
+            connection is closed without a reply.
+        suppress_answers: Number of further statements with an ID that run without an
+            reply, while the connection stays open.
+        rejections: Error codes with which the next statements with an ID are rejected.
+        delay_s: Delay before each statement with an ID runs, in seconds.
         is_full: Whether it rejects further connections.
     """
 
@@ -149,7 +149,7 @@
         writer.write(self.render_ready(session))
         while line := (await reader.readline()).decode().rstrip("\r\n"):
             _, request_id, text = line.split(" ", 2)
-            answer = await self.build_answer(session, request_id, text)
+            reply = await self.build_reply(session, request_id, text)
             await self.wait_while_silent()
             if request_id != "-" and self.faults.lose_answers > 0:
                 self.faults.lose_answers -= 1
@@ -157,11 +157,11 @@
             if request_id != "-" and self.faults.suppress_answers > 0:
                 self.faults.suppress_answers -= 1
                 continue
-            writer.write(answer + self.render_ready(session))
+            writer.write(reply + self.render_ready(session))
             await writer.drain()
 
     async def wait_while_silent(self) -> None:
-        """Wait while the upstream sends no answers."""
+        """Wait while the upstream sends no replies."""
         while self.faults.is_silent:
             await asyncio.sleep(0.01)
 
@@ -175,7 +175,7 @@
         return ""
 
     def render_ready(self, session: LineSession) -> bytes:
-        """Return the line that ends an answer."""
+        """Return the line that ends a reply."""
         position = (
             self.member.received_position
             if self.member.is_primary
@@ -183,10 +183,10 @@
         )
         return f"READY {session.state} {position.term}.{position.offset}\r\n".encode()
 
-    async def build_answer(
+    async def build_reply(
         self, session: LineSession, request_id: str, text: str
     ) -> bytes:
-        """Run a statement and return its answer without the last line."""
+        """Run a statement and return its reply without the last line."""
         try:
             row, signature = await self.run(session, request_id, text)
         except StatementRejectedError as rejection:
--- a/ebonyrack/standins/log.py
+++ b/ebonyrack/standins/log.py
@@ -141,7 +141,7 @@
         self.waiting = remaining
 
     async def wait_for(self, position: LogPosition, limit_s: float) -> bool:
-        """Wait until a position is reached or the time is over.
+        """Wait until a position is reached, or until the timeout.
 
         Args:
             position: Position to wait for.
--- a/ebonyrack/standins/network.py
+++ b/ebonyrack/standins/network.py
@@ -1,4 +1,4 @@
-"""Network links between the sites of one event loop's proxies, which can be cut."""
+"""Links that can be cut, between the sites of proxies in one event loop."""
 
 from __future__ import annotations
 
--- a/ebonyrack/standins/platform.py
+++ b/ebonyrack/standins/platform.py
@@ -42,7 +42,7 @@
         calls: Number of calls by kind; a waiting watch counts as one.
         is_down: Whether every call's connection is aborted without effect.
         delay_s: Delay before each call takes effect, in seconds.
-        lose_answers: Number of further changes that take effect unanswered.
+        lose_answers: Number of further changes that take effect without a reply.
         stale_reads: Number of further reads that return the previous value.
     """
 
@@ -141,7 +141,7 @@
     async def wait_for_change(
         self, request: web.Request, read_index: Callable[[], int]
     ) -> None:
-        """Wait until the index of a blocking query is passed or its time is over."""
+        """Wait until the index of a blocking query is passed or its wait times out."""
         query = parse_blocking_query(request)
         deadline_s = now_s() + query.wait_s
         while query.index and read_index() <= query.index and not self.is_down:
--- a/ebonyrack/standins/platform_calls.py
+++ b/ebonyrack/standins/platform_calls.py
@@ -92,7 +92,7 @@
 
 
 def abort_connection(request: web.Request) -> web.Response:
-    """Abort a call's connection instead of answering."""
+    """Abort a call's connection instead of replying."""
     if request.transport is not None:
         request.transport.abort()
     return web.Response(status=500)
--- a/ebonyrack/standins/platform_test.py
+++ b/ebonyrack/standins/platform_test.py
@@ -73,7 +73,7 @@
         assert await put(session, platform, f"/v1/kv/k?acquire={first}", b"1") is True
         assert await put(session, platform, f"/v1/kv/k?acquire={second}", b"2") is False
         await put(session, platform, f"/v1/session/renew/{first}")
-        platform.state.sessions[first].expires_s = 0.0
+        platform.state.sessions[first].expires_at_s = 0.0
         platform.state.expire_sessions()
         expected = None if behaviour == "delete" else b"1"
         assert (await get(session, platform, "/v1/kv/k"))[1] == expected
--- a/ebonyrack/standins/replication.py
+++ b/ebonyrack/standins/replication.py
@@ -89,7 +89,9 @@
         term, ranges = await self.frames.read()
         if not upstream.can_write or upstream.term != term:
             return
-        offset = upstream.log.find_common_offset([TermRange(*run) for run in ranges])
+        offset = upstream.log.find_common_offset(
+            [TermRange(*fields) for fields in ranges]
+        )
         await self.send(["start", offset])
         while upstream.can_write and upstream.term == term:
             appended = upstream.appended
@@ -187,7 +189,9 @@
     def send_startup(self, writer: asyncio.StreamWriter) -> None:
         """Send this replica's name, the primary's term and the local log's ranges."""
         startup = StartupMessage(params={REPLICA_PARAMETER: self.upstream.name})
-        ranges = [[run.term, run.first, run.last] for run in self.upstream.log.ranges]
+        ranges = [
+            [item.term, item.first, item.last] for item in self.upstream.log.ranges
+        ]
         writer.write(startup.to_wire() + msgpack.packb([self.term, ranges]))
 
     async def store_frames(self) -> None:
--- a/ebonyrack/standins/session.py
+++ b/ebonyrack/standins/session.py
@@ -12,7 +12,7 @@
 
 from ebonyrack.core.position import LogPosition
 from ebonyrack.standins.dialect import parse_script
-from ebonyrack.standins.execution import AnswerLostError
+from ebonyrack.standins.execution import ReplyLostError
 from ebonyrack.standins.execution import commit_implicit_transaction
 from ebonyrack.standins.execution import execute
 from ebonyrack.standins.execution import fail_transaction
@@ -43,7 +43,7 @@
     """Serves one connection: startup, queries, cancellation.
 
     Attributes:
-        process_id: Process id that identifies this session in a CancelRequest.
+        process_id: Process ID that identifies this session in a CancelRequest.
         secret_key: Key that a CancelRequest must contain.
         task: Task that serves the connection.
         transaction: Open transaction, if any.
@@ -93,7 +93,7 @@
                 is_open = await start_session(self)
             if is_open:
                 await self.serve()
-        except AnswerLostError:
+        except ReplyLostError:
             self.abort()
         except ConnectionAbortedError:
             await self.flush()
@@ -206,7 +206,7 @@
         return True
 
     def terminate_transaction(self) -> None:
-        """Roll back the open transaction for a higher term and end the session."""
+        """Roll back the open transaction and end the session."""
         transaction = self.transaction
         if transaction is None:
             return
--- a/ebonyrack/standins/session_test.py
+++ b/ebonyrack/standins/session_test.py
@@ -148,7 +148,7 @@
             await asyncio.sleep(0.001)
         await second.execute("DELETE FROM bookings")
         first.writer.write(messages.Sync().to_wire())
-        await first.read_answer()
+        await first.read_reply()
         assert b"40001" in first.error
         assert await first.query("SELECT * FROM bookings") and not first.rows
 
--- a/ebonyrack/standins/upstream.py
+++ b/ebonyrack/standins/upstream.py
@@ -43,9 +43,9 @@
         leaving: Whether it reports that it is leaving the group.
         last_primary_contact_s: Monotonic time of the last frame from its primary, or
             at which it began to follow.
-        sessions: Open sessions by process id.
+        sessions: Open sessions by process ID.
         slots: Semaphore that limits the statements running at once.
-        follower: Task that receives the primary's log.
+        follower: Receiver of the primary's log, or None if it follows no primary.
     """
 
     __slots__ = (
@@ -173,19 +173,19 @@
         )
 
     async def begin_write(
-        self, transaction: Transaction, values: frozenset[str]
+        self, transaction: Transaction, lock_keys: frozenset[str]
     ) -> None:
-        """Start a write of a transaction once it has the locks of the values.
+        """Start a write of a transaction once it holds the lock keys.
 
         Args:
             transaction: The session's transaction.
-            values: Values that the statement names.
+            lock_keys: Lock keys of the statement.
 
         Raises:
             SqlError: If the upstream accepts no writes (25006).
         """
         if self.can_write:
-            await self.locks.acquire(values, transaction)
+            await self.locks.acquire(lock_keys, transaction)
         if not self.can_write:
             self.locks.release(transaction)
             raise SqlError("25006", "cannot write in a read-only transaction")
