--- a/ebonyrack/standins/group_test.py
+++ b/ebonyrack/standins/group_test.py
@@ -161,7 +161,7 @@
     assert status.role is Role.REPLICA
 
 
-async def test_frozen_upstream_answers_only_after_it_resumes(group, connection):
+async def test_frozen_upstream_replies_only_after_it_resumes(group, connection):
     group.freeze("up-1")
     pending = asyncio.create_task(fetch(connection, "SELECT 1"))
     async with await connect(group["up-2"]) as other:
@@ -171,7 +171,7 @@
     assert await pending == [(1,)]
 
 
-async def test_one_way_cut_delays_the_answer_but_not_the_commit(group, connection):
+async def test_one_way_cut_delays_the_reply_but_not_the_commit(group, connection):
     group.cut("up-1", "proxies", one_way=True)
     write = asyncio.create_task(connection.execute(INSERT, (1, "a", "r-1")))
     assert await group["up-2"].applied.wait_for(LogPosition(1, 2), WAIT_S)
@@ -180,7 +180,7 @@
     await write
 
 
-async def test_lost_commit_answer_leaves_the_commit_in_effect(group):
+async def test_lost_commit_reply_leaves_the_commit_in_effect(group):
     connection = await connect(group["up-1"])
     group.lose_commit_answers("up-1")
     with pytest.raises(psycopg.OperationalError):
--- a/ebonyrack/standins/line_group.py
+++ b/ebonyrack/standins/line_group.py
@@ -52,7 +52,7 @@
     Attributes:
         member_id: ID of the upstream.
         is_primary: Whether it is the primary.
-        term: Newest term that it knows.
+        term: Highest term that it knows.
         paused_below_term: Term below which replication is paused; 0 for no pause.
         log: Entries that it has received.
         applied_count: Number of log entries that reads see.
@@ -134,7 +134,7 @@
 
     @property
     def primary(self) -> LineMember | None:
-        """The primary in the newest term, or None."""
+        """The primary with the highest term, or None."""
         primaries = [member for member in self.members.values() if member.is_primary]
         return max(primaries, key=lambda member: member.term) if primaries else None
 
--- a/ebonyrack/standins/platform_test.py
+++ b/ebonyrack/standins/platform_test.py
@@ -104,7 +104,7 @@
         ]
 
 
-async def test_lost_answer_leaves_the_change_in_effect():
+async def test_lost_reply_leaves_the_change_in_effect():
     async with StandinPlatform() as platform, aiohttp.ClientSession() as session:
         platform.lose_answers = 1
         url = f"http://{platform.address}/v1/kv/k?cas=0"
