--- a/demo/bench.sh
+++ b/demo/bench.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Compares one proxy with the direct connection to the same stand-in group.
+# Compares one proxy with a direct connection to the same stand-in group.
 set -eu
 RESULTS=${RESULTS:-results}
 
@@ -15,5 +15,5 @@
 "$PYTHON" -m ebonyrack.scripts.load bench --proxy "${PROXIES[0]}" \
   --upstream "$NET.11:6432" --proxy-pid "${PROXY_PIDS[0]}" --results "$RESULTS" &
 PIDS+=("$!")
-# A wait, unlike a command in the foreground, lets a signal clean up at once.
+# Unlike a foreground command, wait is interrupted by a signal, so cleanup runs at once.
 wait "$!"
--- a/demo/chaos.sh
+++ b/demo/chaos.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
-# Kills, freezes and restarts proxies, upstreams and the platform at random, also two
-# at once, under a booking workload; SEED makes the order repeatable. Exit status 1 if a booking was lost,
-# doubled, read stale or refused untruly.
+# Injects random faults into proxies, upstreams and the platform (kill and restart, freeze,
+# also two at once) under a booking workload; SEED makes the order repeatable. Exit status 1
+# if a booking was lost, doubled, read stale or refused although it had run.
 set -eu
 SEED=${SEED:-1}
 DURATION_S=${DURATION_S:-40}
@@ -22,7 +22,7 @@
 start_siam_proxies
 start_booking
 
-# kill_proxy NUMBER: ends a proxy at once and starts another under its name.
+# kill_proxy NUMBER: kills a proxy and starts another under the same name.
 kill_proxy() {
   local pid=${PROXY_PIDS[$(($1 - 1))]}
   kill -KILL "$pid"
@@ -33,38 +33,38 @@
   wait_for "proxy-$1" "proxy-$1.log" proxy_serving
 }
 
-# freeze PID: stops a process for a moment, so that it wakes without noticing.
+# freeze PID: stops a process for 1.5 s and resumes it.
 freeze() {
   kill -STOP "$1"
   sleep 1.5
   kill -CONT "$1"
 }
 
-strike() {
+inject_fault() {
   local number=$((RANDOM % 3 + 1)) kind=$((RANDOM % 6))
   case $kind in
-    0) echo "strike: kill proxy-$number" && kill_proxy "$number" ;;
-    1) echo "strike: freeze proxy-$number" && freeze "${PROXY_PIDS[$((number - 1))]}" ;;
+    0) echo "fault: kill proxy-$number" && kill_proxy "$number" ;;
+    1) echo "fault: freeze proxy-$number" && freeze "${PROXY_PIDS[$((number - 1))]}" ;;
     2)
-      echo "strike: freeze the platform and up-$number"
+      echo "fault: freeze the platform and up-$number"
       kill -STOP "$PLATFORM_PID"
       freeze "${UPSTREAM_PIDS[$((number - 1))]}"
       kill -CONT "$PLATFORM_PID"
       ;;
     3)
-      echo "strike: freeze proxy-$number and up-$number"
+      echo "fault: freeze proxy-$number and up-$number"
       kill -STOP "${PROXY_PIDS[$((number - 1))]}"
       freeze "${UPSTREAM_PIDS[$((number - 1))]}"
       kill -CONT "${PROXY_PIDS[$((number - 1))]}"
       ;;
-    *) echo "strike: freeze up-$number" && freeze "${UPSTREAM_PIDS[$((number - 1))]}" ;;
+    *) echo "fault: freeze up-$number" && freeze "${UPSTREAM_PIDS[$((number - 1))]}" ;;
   esac
 }
 
 sleep "$PAUSE_S"
 for _ in $(seq "$STRIKES"); do
   kill -0 "$LOAD_PID" 2>/dev/null || break
-  strike
+  inject_fault
   sleep "$PAUSE_S"
 done
 status=0
--- a/demo/cluster.sh
+++ b/demo/cluster.sh
@@ -3,7 +3,7 @@
 PYTHON=${PYTHON:-python3}
 START_LIMIT_S=${START_LIMIT_S:-15}
 
-# A network of its own, so that two runs on one machine don't meet.
+# A separate loopback network, so that two runs on one machine don't interfere.
 NET=${NET:-127.$((RANDOM % 200 + 20)).$((RANDOM % 250 + 1))}
 PLATFORM=$NET.1:8500
 CONTROL=$NET.2:8600
@@ -74,14 +74,14 @@
   done
 }
 
-# start_group SIZES...: the three upstreams in one process with fault control.
+# start_group SIZES...: the three upstreams in one process with fault injection.
 start_group() {
   # shellcheck disable=SC2086
   start group standin group --listen $UPSTREAMS --control "$CONTROL" "$@"
   wait_for group group.out "listening on"
 }
 
-# write_document KEYS: the operators' document, with further keys of the group.
+# write_document KEYS: the operators' document, with additional keys of the group.
 write_document() {
   cat <<END
 [group booking]
@@ -126,7 +126,7 @@
 END
 }
 
-# start_proxies COUNT KEYS [LEVEL [TRUST]]: puts the document and starts proxies.
+# start_proxies COUNT KEYS [LEVEL [TRUST]]: writes the document and starts proxies.
 # Sets PROXIES, PEERS, PROXY_PIDS and PROXY_LOGS.
 start_proxies() {
   local number data_centre
--- a/demo/control_plane.sh
+++ b/demo/control_plane.sh
@@ -1,7 +1,8 @@
 #!/usr/bin/env bash
 # usage: demo/control_plane.sh NODES [GROUPS [EDITS]]
 # Starts the platform and NODES proxies without callers, several to a process, and
-# measures the spread of edits, the cost of a node, and the shares after a death.
+# measures the propagation of edits, the cost of a node, and the update of connection
+# shares after a proxy was killed.
 set -eu
 NODES=$1
 GROUP_COUNT=${2:-3}
@@ -15,7 +16,7 @@
 
 start_platform
 LOGS=()
-# The last proxy is alone in its process, which is killed at the end.
+# The last proxy has its own process, which is killed at the end.
 for ((first = 0; first < NODES - 1; first += PER_PROCESS)); do
   count=$((NODES - 1 - first < PER_PROCESS ? NODES - 1 - first : PER_PROCESS))
   start "host-$first" load control-host --store "$PLATFORM" --network "$NET.3" \
--- a/demo/experiment.sh
+++ b/demo/experiment.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
 # usage: demo/experiment.sh NAME [OPTIONS]; `load experiment --help` lists the names.
-# Starts the platform, a group with fault control and three proxies around it.
+# Starts the platform, a group with fault injection and three proxies in front of it.
 set -eu
 PROXY_COUNT=${PROXY_COUNT:-3}
 RESULTS=${RESULTS:-results}
@@ -21,5 +21,5 @@
   --peers "${PEERS[@]}" --peer-secret demo-peer-secret \
   --document "$WORK/document.ini" --password demo-password --results "$RESULTS" &
 PIDS+=("$!")
-# A wait, unlike a command in the foreground, lets a signal clean up at once.
+# Unlike a foreground command, wait is interrupted by a signal, so cleanup runs at once.
 wait "$!"
--- a/demo/groups.sh
+++ b/demo/groups.sh
@@ -14,7 +14,7 @@
 
 start_platform
 for number in $(seq "$GROUPS_WANTED"); do
-  # 127.x.y.z addresses are one network; each group has a /30 of its own.
+  # All 127.x.y.z addresses are loopback; each group uses its own /30.
   base=$((100 + number))
   start "group-$number" standin group --connection-limit 200 --listen \
     "127.19.$base.1:6432" "127.19.$base.2:6432" "127.19.$base.3:6432"
--- a/demo/import_memory.py
+++ b/demo/import_memory.py
@@ -1,4 +1,4 @@
-"""Resident memory that each library adds to a process, in megabytes."""
+"""Prints the resident memory that each library adds to a process, in megabytes."""
 
 import sys
 from pathlib import Path
@@ -18,16 +18,16 @@
 
 
 def main() -> None:
-    """Import the modules one after the other and print what each added."""
+    """Import the modules one after the other and print the memory that each added."""
     last_mb = read_resident_mb()
     print(
         f"| bare interpreter {sys.version.split()[0]} | {last_mb:.1f} | {last_mb:.1f} |"
     )
     for name in MODULES:
         __import__(name)
-        present_mb = read_resident_mb()
-        print(f"| `{name}` | {present_mb - last_mb:.1f} | {present_mb:.1f} |")
-        last_mb = present_mb
+        current_mb = read_resident_mb()
+        print(f"| `{name}` | {current_mb - last_mb:.1f} | {current_mb:.1f} |")
+        last_mb = current_mb
 
 
 if __name__ == "__main__":
--- a/demo/rolling.sh
+++ b/demo/rolling.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Replaces every proxy in turn, gracefully, under a booking workload. Exit status 1
+# Restarts every proxy in turn, gracefully, under a booking workload. Exit status 1
 # if a shutdown cut a request, or a booking was lost, doubled or read stale.
 set -eu
 DURATION_S=${DURATION_S:-30}
--- a/demo/run.sh
+++ b/demo/run.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
-# Runs the whole path on loopback: platform, three upstreams, three proxies and a
+# Runs a whole system on loopback: platform, three upstreams, three proxies and a
 # booking workload through one failover. Ends within 60 s; exit status 1 if a
-# booking was lost, doubled, read stale or refused untruly.
+# booking was lost, doubled, read stale or refused although it had run.
 set -eu
 DURATION_S=${DURATION_S:-25}
 KILL_AFTER_S=${KILL_AFTER_S:-8}
