--- a/ebonyrack/callers/cancel.py
+++ b/ebonyrack/callers/cancel.py
@@ -36,11 +36,11 @@
     session = sessions.get(number)
     if session is None or not hmac.compare_digest(session.secret_key, secret_key):
         return False
-    await cancel_session(session)
+    await cancel_current_request(session)
     return True
 
 
-async def cancel_session(session: CallerSession) -> None:
+async def cancel_current_request(session: CallerSession) -> None:
     """Cancel the current request of a session.
 
     Args:
@@ -81,7 +81,7 @@
 
 
 async def cancel_abandoned(connection: UpstreamConnection) -> None:
-    """Cancel the statement of an abandoned connection, to free its slot.
+    """Cancel the statement of an abandoned connection, to free its upstream slot.
 
     Args:
         connection: The connection, which is already closed.
--- a/ebonyrack/callers/chunk_renderer.py
+++ b/ebonyrack/callers/chunk_renderer.py
@@ -7,8 +7,8 @@
 
 from ebonyrack.callers.chunk_replay import CLOSE_COMPLETE
 from ebonyrack.callers.chunk_replay import PARSE_COMPLETE
-from ebonyrack.callers.exchange import RELAYED
-from ebonyrack.callers.exchange import SWALLOWED
+from ebonyrack.callers.exchange import RELAYED_STEP
+from ebonyrack.callers.exchange import SWALLOWED_STEP
 from ebonyrack.callers.exchange import Completion
 from ebonyrack.callers.exchange import Step
 from ebonyrack.callers.prepared import build_frame
@@ -51,7 +51,7 @@
         while len(prepared) >= MAXIMUM_PREPARED:
             name, _ = prepared.popitem(last=False)
             self.data += build_frame(b"C", b"S" + name.encode() + b"\x00")
-            self.steps.append(SWALLOWED)
+            self.steps.append(SWALLOWED_STEP)
 
     def add_message(self, item: ChunkItem) -> None:
         """Add the frames of one message.
@@ -76,7 +76,7 @@
             self.ensure_prepared(prepared)
             frame = build_frame(b"D", b"S" + prepared.upstream_name + b"\x00")
         self.data += frame
-        self.steps.append(RELAYED)
+        self.steps.append(RELAYED_STEP)
 
     def add_parse(self, item: ChunkItem) -> None:
         """Add a Parse, or a local answer if the statement is already prepared.
--- a/ebonyrack/callers/commit.py
+++ b/ebonyrack/callers/commit.py
@@ -80,7 +80,7 @@
         kind = ErrorKind.OUTCOME_UNKNOWN if refusal is None else refusal.kind
         raise session.handle_upstream_lost(error, kind) from error
     if refusal is not None:
-        raise check_rolled_back(relay, refusal)
+        raise choose_refusal_error(relay, refusal)
     return CommitAnswer(relay, position)
 
 
@@ -114,8 +114,10 @@
             return refusal
 
 
-def check_rolled_back(relay: Relay, refusal: RequestError) -> RequestError:
-    """Check that the COMMIT after a refused outcome record has rolled back.
+def choose_refusal_error(relay: Relay, refusal: RequestError) -> RequestError:
+    """Choose the error for a request whose outcome record was refused.
+
+    The COMMIT sent after the record should have rolled the transaction back.
 
     Args:
         relay: Relay of the answer to the COMMIT.
@@ -135,7 +137,7 @@
 
     Args:
         session: The session, with its transaction open.
-        request: The caller's COMMIT.
+        request: The COMMIT, of the caller or of the proxy.
         key: Idempotency key that the transaction has claimed, or an empty string.
 
     Returns:
@@ -159,17 +161,18 @@
     return relay.error is None
 
 
-async def acknowledge_inner_commit(
+async def confirm_inner_commit(
     session: CallerSession, connection: UpstreamConnection
 ) -> None:
-    """Acknowledge a commit that was one of several statements in a query.
+    """Confirm a commit that was one of several statements in a query.
 
     Args:
         session: The session, which still holds back the answer.
         connection: The connection that it holds.
 
     Raises:
-        RequestError: OUTCOME_UNKNOWN if it can't be acknowledged.
+        RequestError: OUTCOME_UNKNOWN if it can't be confirmed, or UPSTREAM_LOST if it
+            was rolled back.
     """
     query = get_contract(session).build_last_commit()
     try:
@@ -185,7 +188,7 @@
 
     Args:
         session: The session, with its transaction open.
-        request: The caller's COMMIT.
+        request: The COMMIT, of the caller or of the proxy.
 
     Returns:
         Whether it succeeded.
--- a/ebonyrack/callers/exchange.py
+++ b/ebonyrack/callers/exchange.py
@@ -44,8 +44,8 @@
 
 
 # Steps that prepare nothing can be shared, as their `is_done` is never used.
-RELAYED = Step(Completion.RELAY)
-SWALLOWED = Step(Completion.SWALLOW)
+RELAYED_STEP = Step(Completion.RELAY)
+SWALLOWED_STEP = Step(Completion.SWALLOW)
 
 
 @dataclass(slots=True)
--- a/ebonyrack/callers/failover_test.py
+++ b/ebonyrack/callers/failover_test.py
@@ -96,7 +96,7 @@
             assert proxy.count_rows(name, "'a'") == 0
 
 
-async def test_revoked_access_ends_after_open_transaction(proxy):
+async def test_access_revocation_takes_effect_after_open_transaction(proxy):
     caller = await proxy.start_wire()
     await caller.query("BEGIN")
     services = proxy.listener.services
--- a/ebonyrack/callers/fault_matrix_test.py
+++ b/ebonyrack/callers/fault_matrix_test.py
@@ -175,9 +175,9 @@
     """Run one cell and repair the group afterwards."""
     caller = await proxy.start_wire()
     cell = Cell(proxy, caller, fault)
-    holders = []
+    held = []
     if step == "queued":
-        holders = await hold_all_connections(proxy)
+        held = await hold_all_connections(proxy)
     with monkeypatch.context() as patches:
         arm_fault(patches, cell, step)
         outcome, frames = await observe(caller, statements)
@@ -185,7 +185,7 @@
     await asyncio.gather(*cell.tasks)
     for name in NAMES:
         proxy.standins.resume(name)
-    for pool, connection in holders:
+    for pool, connection in held:
         pool.release(connection)
     caller.abort()
     await wait_until(lambda: not proxy.sessions)
--- a/ebonyrack/callers/internal_request.py
+++ b/ebonyrack/callers/internal_request.py
@@ -7,7 +7,7 @@
 from typing import TYPE_CHECKING
 
 from ebonyrack.callers.answers import build_query
-from ebonyrack.callers.exchange import SWALLOWED
+from ebonyrack.callers.exchange import SWALLOWED_STEP
 from ebonyrack.callers.exchange import Exchange
 
 if TYPE_CHECKING:
@@ -28,11 +28,11 @@
 
     def render(self, connection: UpstreamConnection) -> Exchange:
         """Build the exchange, the same for every connection."""
-        return Exchange(build_query(self.sql), deque([SWALLOWED]))
+        return Exchange(build_query(self.sql), deque([SWALLOWED_STEP]))
 
     @property
     def answer_format(self) -> bytes:
-        """Empty, because it is never repeated under an idempotency key."""
+        """Empty, because its answer is never recorded under an idempotency key."""
         return b""
 
     def build_replay(self, tags: Sequence[str], frames: Sequence[bytes] = ()) -> bytes:
@@ -40,6 +40,6 @@
         return b""
 
 
-INTERNAL_BEGIN = "BEGIN"
+INTERNAL_BEGIN_SQL = "BEGIN"
 INTERNAL_COMMIT = InternalRequest("COMMIT")
 INTERNAL_ROLLBACK = InternalRequest("ROLLBACK")
--- a/ebonyrack/callers/keyed_test.py
+++ b/ebonyrack/callers/keyed_test.py
@@ -95,7 +95,7 @@
 
 @BOTH_KINDS
 async def test_commit_error_is_passed_on(monkeypatch, proxy, statements):
-    """A deferred constraint fails at COMMIT; a caller told to retry would never end."""
+    """A deferred constraint fails at COMMIT; a retry would fail again, without end."""
 
     def refuse(upstream, transaction, term):
         upstream.rollback(transaction)
--- a/ebonyrack/callers/listener.py
+++ b/ebonyrack/callers/listener.py
@@ -169,6 +169,8 @@
     def cancel_statement(self, connection: UpstreamConnection) -> None:
         """Cancel the statement of an upstream connection that a session abandoned.
 
+        It is left to end by itself if too many cancel requests are in progress.
+
         Args:
             connection: The abandoned connection.
         """
--- a/ebonyrack/callers/overlapped_read_test.py
+++ b/ebonyrack/callers/overlapped_read_test.py
@@ -15,7 +15,7 @@
 # Upstreams are polled only if a request needs it, and no poll times out.
 QUIET = {"probe_interval_s": 60, "suspect_after_s": 30, "read_wait_s": 20}
 READY = b"Z\0\0\0\5I"
-CHUNK_BYTES = 256 * 1024
+MAXIMUM_RECEIVE_BYTES = 256 * 1024
 
 
 @pytest.fixture
@@ -53,7 +53,10 @@
 
 
 async def read_dropped_answer(proxy, caller, prepare):
-    """Read on a replica that lacks a write; validate it after its whole answer came."""
+    """Have up-2, which lacks a write, answer in full; return its connection.
+
+    The answer is validated and dropped only once all of it has arrived.
+    """
     proxy.standins.cut("up-1", "up-2")
     await write_through_other_proxy(proxy, "up-3")
     for name in ("up-1", "up-3"):
@@ -135,7 +138,7 @@
         await wait_until(lambda: proxy.pool("up-2").busy_count)
         (connection,) = proxy.pool("up-2").busy
         await wait_until(lambda: connection.frames.is_paused)
-        assert len(connection.frames.buffer) < READ_BUFFER_BYTES + CHUNK_BYTES
+        assert len(connection.frames.buffer) < READ_BUFFER_BYTES + MAXIMUM_RECEIVE_BYTES
         assert not reading.done()
         for name in ("up-1", "up-3"):
             proxy.standins.resume(name)
--- a/ebonyrack/callers/pipeline.py
+++ b/ebonyrack/callers/pipeline.py
@@ -10,7 +10,7 @@
 from ebonyrack.callers.control_chunk import run_control_chunk
 from ebonyrack.callers.control_chunk import split_into_chunks
 from ebonyrack.callers.dispatch import run_data
-from ebonyrack.callers.internal_request import INTERNAL_BEGIN
+from ebonyrack.callers.internal_request import INTERNAL_BEGIN_SQL
 from ebonyrack.callers.internal_request import INTERNAL_COMMIT
 from ebonyrack.callers.internal_request import INTERNAL_ROLLBACK
 from ebonyrack.callers.prepared import decode_message
@@ -174,7 +174,7 @@
             else:
                 await transaction.roll_back(INTERNAL_ROLLBACK)
         except RequestError as error:
-            session.fail(error)
+            session.fail_request(error)
         # The caller has not opened this transaction and can't end it after an error.
         transaction.reset()
 
@@ -215,7 +215,7 @@
             else:
                 is_success = await self.run_data_chunk(chunk, is_synced)
         except RequestError as error:
-            session.fail(error)
+            session.fail_request(error)
             is_success = False
         session.count_request(chunk.statement, is_success)
         return is_success
@@ -239,7 +239,7 @@
             self.store.remove_closed(chunk)
             return True
         if not is_synced and session.transaction.status == IDLE and chunk.uses_portals:
-            session.transaction.begin(INTERNAL_BEGIN, False, is_implicit=True)
+            session.transaction.begin(INTERNAL_BEGIN_SQL, False, is_implicit=True)
         try:
             return await run_data(session, chunk.statement, chunk)
         finally:
--- a/ebonyrack/callers/read_steps.py
+++ b/ebonyrack/callers/read_steps.py
@@ -18,7 +18,7 @@
 
 
 class ReadInterruptedError(Exception):
-    """The answer to a read did not arrive, or only in part.
+    """The answer to a read did not arrive or was cut off.
 
     Attributes:
         upstream_name: Upstream that should have served the read.
--- a/ebonyrack/callers/recorded_answer_test.py
+++ b/ebonyrack/callers/recorded_answer_test.py
@@ -135,7 +135,7 @@
 
 
 @pytest.mark.parametrize("value_bytes", [MAXIMUM_PACKED_BYTES, 60_000])
-async def test_too_large_rows_are_refused_before_commit(proxy, value_bytes):
+async def test_too_large_rows_are_rejected_before_commit(proxy, value_bytes):
     caller = await proxy.start_wire()
     long = INSERT.replace("me", "x" * value_bytes)
     await caller.query(SET_KEY)
--- a/ebonyrack/callers/relay.py
+++ b/ebonyrack/callers/relay.py
@@ -22,7 +22,8 @@
 # RowDescription, CommandComplete, EmptyQueryResponse and PortalSuspended.
 COMPLETING_KINDS = frozenset({b"1", b"2", b"3", b"n", b"T", b"C", b"I", b"s"})
 COMMAND_KINDS = frozenset({b"C", b"I", b"s"})
-COPY_KINDS = frozenset({b"G", b"H", b"W"})
+# CopyInResponse, CopyOutResponse and CopyBothResponse.
+COPY_RESPONSE_KINDS = frozenset({b"G", b"H", b"W"})
 # NotificationResponse, which only follows a LISTEN; that is not supported here.
 DROPPED_KINDS = frozenset({b"A"})
 TAG_OFFSET = 5
@@ -35,8 +36,9 @@
 class Relay:
     """Collects the answer to one exchange and sends it to the caller.
 
-    The end of the answer stays in `output` for the code that called `run` to send or
-    drop; with `hold_completed`, so does all from the first CommandComplete on.
+    Frames that `run` has not sent stay in `output`, for its caller to send or drop:
+    the end of the answer or, with `hold_completed`, everything from the first
+    completed command on.
 
     Attributes:
         session: The caller's session.
@@ -88,11 +90,11 @@
         return "" if self.error is None else extract_sqlstate(self.error)
 
     async def run(self) -> None:
-        """Relay the answer up to ReadyForQuery, which is not passed on.
+        """Relay the answer up to ReadyForQuery, which is consumed but not relayed.
 
         Raises:
             UpstreamLostError: If the upstream is lost before ReadyForQuery, or
-                the answer can't be passed on.
+                the answer can't be relayed.
         """
         self.add_local_steps()
         while True:
@@ -139,7 +141,7 @@
             self.output += message.raw
         elif kind == b"E":
             self.process_error(message)
-        elif kind in COPY_KINDS:
+        elif kind in COPY_RESPONSE_KINDS:
             self.reject_copy(message)
         elif kind not in DROPPED_KINDS:
             self.process_completion(message)
@@ -169,7 +171,7 @@
             self.completed_commands += 1
             if self.hold_completed:
                 self.is_held = True
-                self.tags.append(read_tag(message))
+                self.tags.append(extract_tag(message))
         if self.steps and kind in COMPLETING_KINDS:
             step = self.steps.popleft()
             step.is_done = True
@@ -191,8 +193,8 @@
     def reject_copy(self, message: Message) -> None:
         """Reject a COPY that was not recognised before it was sent.
 
-        A copy from the caller is ended by CopyFail, so that the upstream answers the
-        rest.
+        CopyFail ends a copy from the caller, so that the upstream reports an error and
+        finishes its answer.
 
         Args:
             message: CopyInResponse, CopyOutResponse or CopyBothResponse.
@@ -207,8 +209,8 @@
         raise UpstreamLostError("COPY is not supported over pooled connections")
 
 
-def read_tag(message: Message) -> str:
-    """Read the command tag of a message that completes a command.
+def extract_tag(message: Message) -> str:
+    """Extract the command tag from a message that completes a command.
 
     Args:
         message: CommandComplete, EmptyQueryResponse or PortalSuspended.
--- a/ebonyrack/callers/session.py
+++ b/ebonyrack/callers/session.py
@@ -35,7 +35,8 @@
     from ebonyrack.upstreams.connection import Message
     from ebonyrack.upstreams.connection import UpstreamConnection
 
-COPY_KINDS = frozenset({b"d", b"c", b"f"})
+# CopyData, CopyDone and CopyFail.
+COPY_DATA_KINDS = frozenset({b"d", b"c", b"f"})
 PIPELINE_KINDS = frozenset({b"P", b"B", b"D", b"E", b"C", b"H", b"S"})
 
 
@@ -170,9 +171,9 @@
                 self.pipeline = Pipeline(self)
             await self.pipeline.process_message(frame)
         elif frame.kind == b"F":
-            self.fail(RequestError(ErrorKind.UNSUPPORTED, "function call"))
+            self.fail_request(RequestError(ErrorKind.UNSUPPORTED, "function call"))
             self.write_ready()
-        elif frame.kind not in COPY_KINDS:
+        elif frame.kind not in COPY_DATA_KINDS:
             # Data of a rejected COPY may still arrive and is ignored.
             raise RequestError(ErrorKind.BAD_REQUEST, f"message {frame.kind!r}")
 
@@ -215,7 +216,7 @@
         try:
             is_success = await run_simple(self, statement, request)
         except RequestError as error:
-            self.fail(error)
+            self.fail_request(error)
             is_success = False
         metrics.answer_time.record(now_s() - started_s, {"kind": statement.kind.value})
         self.count_request(statement, is_success)
@@ -232,8 +233,8 @@
         labels = {"group": self.identity.group, "kind": statement.kind.value}
         metrics.requests.add(1, {**labels, "outcome": outcome})
 
-    def fail(self, error: RequestError) -> None:
-        """Roll back the transaction, if one is open, and send an error.
+    def fail_request(self, error: RequestError) -> None:
+        """End a request with an error and roll back its transaction, if one is open.
 
         Args:
             error: The error that ended the request.
--- a/ebonyrack/callers/statement_kinds.py
+++ b/ebonyrack/callers/statement_kinds.py
@@ -34,7 +34,8 @@
         value: Value of SET; empty for RESET and SET TO DEFAULT.
         reason: Why the statement is not supported.
         read_only: Whether BEGIN requests a read-only transaction.
-        is_shared: Whether it applies to all texts that differ only in literals.
+        is_shared: Whether it applies to all texts with the same fingerprint, which
+            differ only in literals.
     """
 
     kind: StatementKind
--- a/ebonyrack/callers/statement_test.py
+++ b/ebonyrack/callers/statement_test.py
@@ -107,7 +107,7 @@
     + [(sql, StatementKind.WRITE) for sql in WRITES]
     + [(sql, StatementKind.UNSUPPORTED) for sql in UNSUPPORTED],
 )
-def test_kind(sql, kind):
+def test_statement_kind(sql, kind):
     found = StatementCache().classify(sql)
     assert found.kind is kind
     assert bool(found.reason) == (kind is StatementKind.UNSUPPORTED)
--- a/ebonyrack/callers/token.py
+++ b/ebonyrack/callers/token.py
@@ -104,7 +104,8 @@
         Positions by group name.
 
     Raises:
-        RequestError: BAD_TOKEN if another version of the proxy packed the body.
+        RequestError: BAD_TOKEN if the positions are not valid, which is possible if
+            another version of the proxy packed them.
     """
     positions: dict[str, LogPosition] = {}
     try:
--- a/ebonyrack/callers/transaction.py
+++ b/ebonyrack/callers/transaction.py
@@ -6,9 +6,9 @@
 
 from ebonyrack.callers.claim import claim_session_key
 from ebonyrack.callers.commit import ROLLBACK_TAG
-from ebonyrack.callers.commit import acknowledge_inner_commit
 from ebonyrack.callers.commit import commit_read
 from ebonyrack.callers.commit import commit_write
+from ebonyrack.callers.commit import confirm_inner_commit
 from ebonyrack.callers.recorded_answer import COMMIT_TAG
 from ebonyrack.callers.recorded_answer import decode_answer
 from ebonyrack.callers.relay import Relay
@@ -41,16 +41,16 @@
     Attributes:
         session: The session.
         status: `I`, `T` or `E`, as the caller sees it.
-        begin_sql: Text of the caller's BEGIN.
+        begin_sql: Text of the BEGIN, of the caller or of the proxy.
         is_read_only: Whether a replica may serve it.
         is_implicit: Whether the proxy opened it for a pipeline of the caller.
         has_written: Whether a statement was sent that may write.
         needs_confirmation: Whether a majority must hold the data that it has read
             before its commit is answered.
-        needs_replica: Whether it reads from a replica; if that was promoted
-            meanwhile, the data needs confirmation too.
+        needs_replica: Whether it reads from a replica; if that replica was promoted
+            in the meantime, the data needs confirmation too.
         key: Idempotency key of the transaction, or an empty string.
-        pending_error: Error to answer the next statement with, or None.
+        pending_error: Error with which to answer the next statement, or None.
     """
 
     __slots__ = (
@@ -137,7 +137,7 @@
             kind = ErrorKind.ANSWER_CUT if relay.has_sent else ErrorKind.UPSTREAM_LOST
             raise session.handle_upstream_lost(error, kind) from error
         if session.connection.transaction_status == IDLE and not is_read:
-            await acknowledge_inner_commit(session, session.connection)
+            await confirm_inner_commit(session, session.connection)
         self.update_status()
         session.stream.write(relay.output)
         return relay.error is None
@@ -221,14 +221,15 @@
         """Commit, and answer once a majority holds the transaction.
 
         Args:
-            request: The caller's COMMIT.
+            request: The COMMIT, of the caller or of the proxy.
 
         Returns:
             Whether it succeeded.
 
         Raises:
             RequestError: OUTCOME_UNKNOWN if the outcome of the commit is not known,
-                UPSTREAM_LOST if it was certainly not sent.
+                UPSTREAM_LOST if nothing was committed, POSITION_NOT_REACHED if the
+                data read was not confirmed, or the pending error.
         """
         session = self.session
         session.is_committing = True
@@ -253,7 +254,7 @@
         """Answer the COMMIT of a transaction that is not open on any upstream.
 
         Args:
-            request: The caller's COMMIT.
+            request: The COMMIT, of the caller or of the proxy.
 
         Returns:
             True, as in PostgreSQL, which answers ROLLBACK if the transaction failed.
@@ -267,7 +268,7 @@
         """Roll the transaction back.
 
         Args:
-            request: The caller's ROLLBACK.
+            request: The ROLLBACK, of the caller or of the proxy.
 
         Returns:
             Whether it succeeded; False only if the upstream reports an error.
@@ -293,7 +294,10 @@
         self.status = FAILED
 
     def release(self) -> None:
-        """Release the connection, closing it if a transaction is open on it."""
+        """Release the connection, closing it unless it is clean.
+
+        A statement that still runs on it is cancelled.
+        """
         session = self.session
         connection = session.connection
         if connection is not None and not connection.is_clean:
--- a/ebonyrack/callers/upstream_holder.py
+++ b/ebonyrack/callers/upstream_holder.py
@@ -53,11 +53,11 @@
         connection: That connection, or None.
         phase: What the session waits for.
         phase_since_s: Monotonic time at which the wait began.
-        cancel_scope: Timeout that is made to expire to cancel a wait before anything
-            was sent, or None.
+        cancel_scope: Timeout that a cancel request makes expire, while the session
+            waits and nothing has been sent yet; else None.
         is_committing: Whether a COMMIT is in progress, which is no longer cancelled.
-        cancel_done: Event that is set once a cancel request was forwarded to the
-            upstream, or None.
+        cancel_done: Event that is set once a cancel request has been forwarded to the
+            upstream, or has failed; None if there is none.
         has_stale_statements: Whether the held connection must be closed after use, as
             its prepared statements can't be relied on.
     """
@@ -138,7 +138,7 @@
         return message
 
     async def wait_for_pending_cancel(self) -> None:
-        """Wait until a pending cancel request was forwarded.
+        """Wait until a pending cancel request has been forwarded.
 
         Otherwise it could cancel the next statement.
         """
--- a/ebonyrack/callers/upstream_steps.py
+++ b/ebonyrack/callers/upstream_steps.py
@@ -151,7 +151,8 @@
         session: A session that has found the outcome on its connection.
 
     Raises:
-        RequestError: OUTCOME_UNKNOWN if that does not happen in time.
+        RequestError: OUTCOME_UNKNOWN if that does not happen in time, UPSTREAM_LOST
+            if a change of primary has discarded the outcome.
     """
     group = session.group
     await run_internal_statement(session, "ROLLBACK")
@@ -169,7 +170,7 @@
 async def confirm_write(
     session: CallerSession, connection: UpstreamConnection, position: LogPosition
 ) -> None:
-    """Wait until a majority holds a commit, and record its position.
+    """Wait until a commit may be acknowledged, and record its position.
 
     Args:
         session: The session.
@@ -177,7 +178,8 @@
         position: Position of the commit; LOG_START if there was none.
 
     Raises:
-        RequestError: OUTCOME_UNKNOWN.
+        RequestError: OUTCOME_UNKNOWN if it was not confirmed in time, UPSTREAM_LOST if
+            a change of primary has discarded it.
     """
     if position == LOG_START:
         return
--- a/ebonyrack/callers/writing.py
+++ b/ebonyrack/callers/writing.py
@@ -7,7 +7,7 @@
 from ebonyrack.callers.answers import build_parameter_status
 from ebonyrack.callers.claim import claim_session_key
 from ebonyrack.callers.commit import send_commit
-from ebonyrack.callers.internal_request import INTERNAL_BEGIN
+from ebonyrack.callers.internal_request import INTERNAL_BEGIN_SQL
 from ebonyrack.callers.internal_request import INTERNAL_COMMIT
 from ebonyrack.callers.recorded_answer import COMMIT_TAG
 from ebonyrack.callers.recorded_answer import build_recorded_answer
@@ -110,7 +110,7 @@
     """
     await acquire_primary_connection(session)
     try:
-        outcome = await claim_session_key(session, key, INTERNAL_BEGIN)
+        outcome = await claim_session_key(session, key, INTERNAL_BEGIN_SQL)
         if outcome is not None:
             return await replay(session, request, outcome)
         return await relay_keyed_write(session, request, key)
@@ -131,7 +131,8 @@
 
     Raises:
         RequestError: OUTCOME_UNKNOWN if no majority holds the outcome in time,
-            ALREADY_RAN if the record does not answer this request.
+            UPSTREAM_LOST if a change of primary has discarded it, ALREADY_RAN if the
+            record does not answer this request.
     """
     await confirm_replay(session)
     session.stream.write(
