--- a/ebonyrack/core/errors.py
+++ b/ebonyrack/core/errors.py
@@ -211,7 +211,7 @@
 
     Returns:
         Field code to value, as in the PostgreSQL protocol. DETAIL always starts
-        with `ran=no`, `ran=yes` or `ran=unknown`; HINT says when to retry.
+        with `ran=no`, `ran=yes` or `ran=unknown`; HINT says whether and when to retry.
     """
     answer = ERROR_ANSWERS[error.kind]
     severity = "FATAL" if answer.fatal else "ERROR"
